--- a/crates/core/src/direct/draining.rs
+++ b/crates/core/src/direct/draining.rs
@@ -12,22 +12,22 @@
 use super::peers::DrainReport;
 
 /// Time in which requests that run may end before a change cuts them.
-const RUNNING_TIME: Duration = Duration::from_millis(800);
+const COMPLETION_TIME: Duration = Duration::from_millis(800);
 
 /// The same for the first server of all: capacity is whole, and the sooner it has changed, the more
 /// time the others have.
-const FIRST_RUNNING_TIME: Duration = Duration::from_millis(200);
+const FIRST_COMPLETION_TIME: Duration = Duration::from_millis(200);
 
 /// Time after which a change goes on whatever is not known: an entry that has been silent for so
 /// long counts as gone.
-const LONGEST_DRAIN: Duration = Duration::from_millis(1700);
+const MAX_DRAIN_TIME: Duration = Duration::from_millis(1700);
 
 /// Time after which streams that nobody could go on with are cut all the same: a usual answer has come
 /// to its end by then, and the server serves nothing new meanwhile.
-const LONGEST_KEPT: Duration = Duration::from_millis(1500);
+const MAX_UNMOVABLE_TIME: Duration = Duration::from_millis(1500);
 
 /// Requests that are not waited for.
-const FEW_REQUESTS: u32 = 1;
+const MAX_CUT_REQUESTS: u32 = 1;
 
 /// What is known of a server that is being emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,15 +54,15 @@
 /// Whether the change may begin.
 pub fn may_change(view: &DrainView) -> bool {
     let runs = view.requests.is_none_or(|requests| requests.active > 0);
-    if runs && view.entries.kept > 0 && view.waited < LONGEST_KEPT {
+    if runs && view.entries.kept > 0 && view.waited < MAX_UNMOVABLE_TIME {
         return false;
     }
-    if view.waited >= LONGEST_DRAIN {
+    if view.waited >= MAX_DRAIN_TIME {
         return true;
     }
     let Some(requests) = view.requests else { return false };
     let is_sent_nothing = view.entries.unconfirmed == 0 && view.entries.waiting == 0;
-    let running_time = if view.is_first { FIRST_RUNNING_TIME } else { RUNNING_TIME };
-    let is_short = requests.active <= FEW_REQUESTS || view.waited >= running_time;
-    is_sent_nothing && requests.queued == 0 && is_short
+    let completion_time = if view.is_first { FIRST_COMPLETION_TIME } else { COMPLETION_TIME };
+    let may_cut = requests.active <= MAX_CUT_REQUESTS || view.waited >= completion_time;
+    is_sent_nothing && requests.queued == 0 && may_cut
 }
--- a/crates/core/src/direct/evacuation.rs
+++ b/crates/core/src/direct/evacuation.rs
@@ -19,7 +19,7 @@
 
 impl EvacuatedDomains {
     /// Takes over a set that is of a later place; tells whether other failure domains are in it.
-    pub fn take(&mut self, told: &Self) -> bool {
+    pub fn merge(&mut self, told: &Self) -> bool {
         if told.mark <= self.mark {
             return false;
         }
--- a/crates/core/src/direct/leaving.rs
+++ b/crates/core/src/direct/leaving.rs
@@ -12,13 +12,13 @@
 
 /// Time for which a leaving server is told: longer than a failure domain that is out of reach for a
 /// moment needs to hear it, and several times as long as a server may still get work.
-const TELL_TIME: Duration = Duration::from_secs(5);
+const GOSSIP_TIME: Duration = Duration::from_secs(5);
 
 /// Time after which nothing is remembered of a server that is gone: longer than a watch lasts.
-const MEMORY: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// Servers that are told in one notice at most; each takes a dozen bytes.
-pub const MOST_LEAVING: usize = 64;
+pub const MAX_LEAVING_NOTICES: usize = 64;
 
 /// Word that a server is leaving, or that one which was leaving is back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 struct ServerMarks {
     ready: ChangeMark,
     leaving: Option<ChangeMark>,
-    learnt: Moment,
+    learned_at: Moment,
 }
 
 impl ServerMarks {
@@ -54,33 +54,33 @@
 
 impl LeavingServers {
     /// A server was ready as of `revision`; tells whether it was leaving before.
-    pub fn note_ready(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
+    pub fn record_ready(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
         marks.ready = marks.ready.max(revision);
         let news = before && !marks.is_leaving();
         if news {
-            marks.learnt = now;
+            marks.learned_at = now;
         }
         news
     }
 
     /// Takes in what another entry has heard; tells whether that is news.
-    pub fn note_told(&mut self, now: Moment, notice: LeavingNotice) -> bool {
+    pub fn merge(&mut self, now: Moment, notice: LeavingNotice) -> bool {
         match notice.returned {
-            true => self.note_ready(now, notice.server, notice.revision),
-            false => self.note_leaving(now, notice.server, notice.revision),
+            true => self.record_ready(now, notice.server, notice.revision),
+            false => self.record_leaving(now, notice.server, notice.revision),
         }
     }
 
     /// A server was leaving or gone as of `revision`; tells whether that is news.
-    pub fn note_leaving(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
+    pub fn record_leaving(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
         marks.leaving = marks.leaving.max(Some(revision));
         let news = marks.is_leaving() && !before;
         if news {
-            marks.learnt = now;
+            marks.learned_at = now;
         }
         news
     }
@@ -93,7 +93,8 @@
     /// Servers that were heard to be leaving, or back, a short time ago, for others; the newest
     /// first.
     pub fn recent(&self, now: Moment) -> Vec<LeavingNotice> {
-        let fresh = self.servers.iter().filter(|(_, marks)| now.since(marks.learnt) <= TELL_TIME);
+        let fresh =
+            self.servers.iter().filter(|(_, marks)| now.since(marks.learned_at) <= GOSSIP_TIME);
         let notice = |(server, marks): (&u32, &ServerMarks)| {
             let (leaving, returned) = (marks.leaving?, !marks.is_leaving());
             let revision = if returned { marks.ready } else { leaving };
@@ -101,13 +102,14 @@
         };
         let mut leaving: Vec<LeavingNotice> = fresh.filter_map(notice).collect();
         leaving.sort_by_key(|notice| std::cmp::Reverse(notice.revision));
-        leaving.truncate(MOST_LEAVING);
+        leaving.truncate(MAX_LEAVING_NOTICES);
         leaving
     }
 
     /// Forgets servers that have been leaving for long.
     pub fn forget_old(&mut self, now: Moment) {
-        self.servers.retain(|_, marks| !marks.is_leaving() || now.since(marks.learnt) <= MEMORY);
+        self.servers
+            .retain(|_, marks| !marks.is_leaving() || now.since(marks.learned_at) <= RETENTION);
     }
 }
 
@@ -121,7 +123,7 @@
 #[derive(Debug, Clone, Copy)]
 struct DrainingLife {
     /// When this entry learnt of it.
-    learnt: Moment,
+    learned_at: Moment,
     /// When it was last known to be listed.
     listed: Moment,
 }
@@ -130,7 +132,7 @@
     /// Adds a server; returns whether it is new.
     pub fn note(&mut self, now: Moment, life: LifeKey) -> bool {
         let is_news = !self.lives.contains_key(&life);
-        self.lives.entry(life).or_insert(DrainingLife { learnt: now, listed: now });
+        self.lives.entry(life).or_insert(DrainingLife { learned_at: now, listed: now });
         is_news
     }
 
@@ -146,11 +148,11 @@
 
     /// Servers to gossip, the newest first.
     pub fn recent(&self, now: Moment) -> Vec<LifeKey> {
-        let fresh = self.lives.iter().filter(|(_, life)| now.since(life.learnt) <= TELL_TIME);
+        let fresh = self.lives.iter().filter(|(_, life)| now.since(life.learned_at) <= GOSSIP_TIME);
         let mut fresh: Vec<(Moment, LifeKey)> =
-            fresh.map(|(key, life)| (life.learnt, *key)).collect();
-        fresh.sort_by_key(|(learnt, key)| (std::cmp::Reverse(*learnt), *key));
-        fresh.into_iter().take(MOST_LEAVING).map(|(_, key)| key).collect()
+            fresh.map(|(key, life)| (life.learned_at, *key)).collect();
+        fresh.sort_by_key(|(learned_at, key)| (std::cmp::Reverse(*learned_at), *key));
+        fresh.into_iter().take(MAX_LEAVING_NOTICES).map(|(_, key)| key).collect()
     }
 
     /// Forgets servers that have not been listed for some time.
@@ -159,7 +161,7 @@
             if is_listed(*key) {
                 life.listed = now;
             }
-            now.since(life.listed) <= MEMORY
+            now.since(life.listed) <= RETENTION
         });
     }
 }
--- a/crates/core/src/direct/rate_limits.rs
+++ b/crates/core/src/direct/rate_limits.rs
@@ -34,7 +34,7 @@
 const RETENTION: Duration = Duration::from_secs(60);
 
 /// Most limits in one notice.
-pub const MOST_LIMITS: usize = 64;
+pub const MAX_LIMIT_NOTICES: usize = 64;
 
 /// Key of an entry for rendezvous hashing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -114,7 +114,7 @@
 struct RateLimit {
     limit: Option<RequestRate>,
     /// When the server advertised it, to any entry.
-    heard: Moment,
+    advertised_at: Moment,
     share: Option<LimitShare>,
     /// Tokens as of `counted`.
     tokens: f64,
@@ -123,8 +123,8 @@
 }
 
 impl RateLimit {
-    fn new(now: Moment, limit: Option<RequestRate>, heard: Moment) -> Self {
-        Self { limit, heard, share: None, tokens: 0.0, counted: now, sent: Moment::ZERO }
+    fn new(now: Moment, limit: Option<RequestRate>, advertised_at: Moment) -> Self {
+        Self { limit, advertised_at, share: None, tokens: 0.0, counted: now, sent: Moment::ZERO }
     }
 
     /// Requests a second that this entry may send.
@@ -168,7 +168,7 @@
             let missing = (1.0 - self.tokens(now)).max(0.0);
             return Some(Duration::from_secs_f64(missing / self.rate()));
         }
-        let due = self.heard.max(self.sent) + share.standby_timeout()?;
+        let due = self.advertised_at.max(self.sent) + share.standby_timeout()?;
         Some(due.since(now))
     }
 }
@@ -192,7 +192,7 @@
 
     /// Number of servers with a limit.
     pub fn count(&self) -> usize {
-        self.lives.values().filter(|named| named.limit.is_some()).count()
+        self.lives.values().filter(|known| known.limit.is_some()).count()
     }
 
     /// Records the limit, or its absence, in an answer to a request sent at `sent`; returns whether it
@@ -207,33 +207,35 @@
         match (self.lives.get(&life), limit) {
             (None, None) => return false,
             // The answer may have begun before the limit was advertised.
-            (Some(named), None) if named.limit.is_some() && named.heard >= sent => return false,
+            (Some(known), None) if known.limit.is_some() && known.advertised_at >= sent => {
+                return false;
+            }
             _ => {}
         }
-        self.take(now, life, limit, now)
+        self.update(now, life, limit, now)
     }
 
     /// Merges the limit that another entry has heard of; returns whether it changed.
     pub fn merge(&mut self, now: Moment, notice: LimitNotice) -> bool {
-        self.take(now, notice.life, notice.limit, now - notice.age)
+        self.update(now, notice.life, notice.limit, now - notice.age)
     }
 
-    fn take(
+    fn update(
         &mut self,
         now: Moment,
         life: LifeKey,
         limit: Option<RequestRate>,
-        heard: Moment,
+        advertised_at: Moment,
     ) -> bool {
         match self.lives.get_mut(&life) {
-            Some(named) if named.heard < heard => {
-                named.settle(now);
-                named.heard = heard;
-                std::mem::replace(&mut named.limit, limit) != limit
+            Some(known) if known.advertised_at < advertised_at => {
+                known.settle(now);
+                known.advertised_at = advertised_at;
+                std::mem::replace(&mut known.limit, limit) != limit
             }
             Some(_) => false,
             None => {
-                self.lives.insert(life, RateLimit::new(now, limit, heard));
+                self.lives.insert(life, RateLimit::new(now, limit, advertised_at));
                 limit.is_some()
             }
         }
@@ -241,14 +243,14 @@
 
     /// Sets this entry's share in a server's limit.
     pub fn set_share(&mut self, now: Moment, life: LifeKey, share: Option<LimitShare>) {
-        if let Some(named) = self.lives.get_mut(&life) {
-            named.set_share(now, share);
+        if let Some(known) = self.lives.get_mut(&life) {
+            known.set_share(now, share);
         }
     }
 
     /// Time until a server may be sent a request by this entry; none if this entry has no share.
     pub fn wait(&self, now: Moment, life: LifeKey) -> Option<Duration> {
-        self.lives.get(&life).map_or(Some(Duration::ZERO), |named| named.wait(now))
+        self.lives.get(&life).map_or(Some(Duration::ZERO), |known| known.wait(now))
     }
 
     /// Time between two requests that all entries together may send a server; zero without a limit.
@@ -259,30 +261,30 @@
 
     /// Takes a token for one request, if there is one.
     pub fn try_acquire(&mut self, now: Moment, life: LifeKey) -> bool {
-        let Some(named) = self.lives.get_mut(&life) else { return true };
-        if named.wait(now) != Some(Duration::ZERO) {
+        let Some(known) = self.lives.get_mut(&life) else { return true };
+        if known.wait(now) != Some(Duration::ZERO) {
             return false;
         }
-        named.settle(now);
-        named.tokens = (named.tokens - 1.0).max(0.0);
-        named.sent = now;
+        known.settle(now);
+        known.tokens = (known.tokens - 1.0).max(0.0);
+        known.sent = now;
         true
     }
 
     /// Limits to gossip, the newest first.
     pub fn recent(&self, now: Moment) -> Vec<LimitNotice> {
-        let recent = self.lives.iter().filter(|(_, named)| {
+        let recent = self.lives.iter().filter(|(_, known)| {
             // The age of what is older than this process is unknown.
-            named.heard > Moment::ZERO && now.since(named.heard) <= GOSSIP_TIME
+            known.advertised_at > Moment::ZERO && now.since(known.advertised_at) <= GOSSIP_TIME
         });
-        let notice = |(life, named): (&LifeKey, &RateLimit)| LimitNotice {
+        let notice = |(life, known): (&LifeKey, &RateLimit)| LimitNotice {
             life: *life,
-            limit: named.limit,
-            age: now.since(named.heard),
+            limit: known.limit,
+            age: now.since(known.advertised_at),
         };
         let mut notices: Vec<LimitNotice> = recent.map(notice).collect();
         notices.sort_by_key(|notice| (notice.age, notice.life.0));
-        notices.truncate(MOST_LIMITS);
+        notices.truncate(MAX_LIMIT_NOTICES);
         notices
     }
 
@@ -293,9 +295,9 @@
 
     /// Forgets limits that were lifted or whose servers are not listed, after some time.
     pub fn forget_old(&mut self, now: Moment, is_listed: impl Fn(LifeKey) -> bool) {
-        self.lives.retain(|life, named| {
-            let is_kept = named.limit.is_some() && is_listed(*life);
-            is_kept || now.since(named.heard) <= RETENTION
+        self.lives.retain(|life, known| {
+            let is_kept = known.limit.is_some() && is_listed(*life);
+            is_kept || now.since(known.advertised_at) <= RETENTION
         });
     }
 }
--- a/crates/core/src/direct/server_table.rs
+++ b/crates/core/src/direct/server_table.rs
@@ -12,7 +12,7 @@
     traffic::{ServerId, ServerRecord, WeightVersion},
 };
 
-use self::cold::ColdSpan;
+use self::cold::ColdPeriod;
 use super::{
     engine_model::EngineLoad,
     fact_age::ChangeMark,
@@ -23,35 +23,35 @@
 };
 use crate::time::Moment;
 
-mod changing;
 mod choice;
 mod cold;
 mod limits;
 mod signals;
+mod weight_changes;
 
-pub use changing::ContinuationLimits;
-pub use choice::{ChosenServer, EngineQuery, FullServers, ServerChoice, ServerQuery};
+pub use choice::{ChosenServer, EngineQuery, ExclusionCounts, ServerChoice, ServerQuery};
 pub use cold::ColdRates;
 pub use signals::Ineligible;
+pub use weight_changes::ContinuationLimits;
 
 /// The same for streams that are continued.
-const CONTINUED_QUEUE: u32 = 6;
+const CONTINUATION_QUEUE: u32 = 6;
 
 /// Part of its slots from which on the end of a request is told at once, in percent: while a server
 /// is idle, nobody needs to know, and each telling is a datagram to every entry of the domain.
-const BUSY_PERCENT: u32 = 75;
+const URGENT_LOAD_PERCENT: u32 = 75;
 
 /// Weight of the newest outcome in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
 
 /// First pause after a server could not be reached or broke off.
-const FAILURE_PAUSE: Duration = Duration::from_millis(300);
+const FAILURE_COOLDOWN: Duration = Duration::from_millis(300);
 
 /// First pause after a server refused although it was thought to have room.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(80);
+const REFUSAL_COOLDOWN: Duration = Duration::from_millis(80);
 
 /// Most doublings of a pause.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// What came of a request at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -82,13 +82,13 @@
     region: Option<RegionId>,
     own: EngineLoad,
     /// It is cold, as it said when it came back.
-    cold: Option<ColdSpan>,
+    cold: Option<ColdPeriod>,
     /// Requests of this entry that have not begun there.
     waiting: u32,
     /// Streams of this entry that may not be sent to another server any more.
-    last_streams: u32,
+    pinned_streams: u32,
     /// The load has changed since it was last told, and others are to hear that at once.
-    untold: bool,
+    has_urgent_change: bool,
     /// The load has changed since it was last told.
     changed: bool,
     failures: u32,
@@ -108,7 +108,7 @@
     services: HashMap<Arc<str>, Vec<ServerId>>,
     others: HashMap<u32, EngineLoad>,
     /// Failure domains that are out of reach.
-    silent: BTreeSet<DomainKey>,
+    unreachable: BTreeSet<DomainKey>,
     /// Failure domains that are being emptied.
     evacuated: BTreeSet<DomainKey>,
     /// Servers that leave.
@@ -157,10 +157,10 @@
         match record.draining {
             true => {
                 // Whether others knew it before makes no difference here.
-                let _ = self.leaving.note_leaving(now, key, revision);
+                let _ = self.leaving.record_leaving(now, key, revision);
             }
             false => {
-                let _ = self.leaving.note_ready(now, key, revision);
+                let _ = self.leaving.record_ready(now, key, revision);
             }
         }
         let region = self.regions.get(&record.zone).cloned();
@@ -175,7 +175,7 @@
             state.life = life;
             state.domain = DomainKey::from(&record.zone);
             state.region = region;
-            state.cold = ColdSpan::new(now, Duration::from_millis(record.cold_ms), state.cold);
+            state.cold = ColdPeriod::new(now, Duration::from_millis(record.cold_ms), state.cold);
             let id = record.id.clone();
             state.record = record;
             if let Some((before, service)) = moved {
@@ -189,10 +189,10 @@
                 domain: DomainKey::from(&record.zone),
                 region,
                 own: EngineLoad::default(),
-                cold: ColdSpan::new(now, Duration::from_millis(record.cold_ms), None),
+                cold: ColdPeriod::new(now, Duration::from_millis(record.cold_ms), None),
                 waiting: 0,
-                last_streams: 0,
-                untold: false,
+                pinned_streams: 0,
+                has_urgent_change: false,
                 changed: false,
                 failures: 0,
                 refusals: 0,
@@ -210,7 +210,7 @@
 
     /// Takes out a server that is gone as of `revision`.
     pub fn remove(&mut self, now: Moment, id: &ServerId, revision: ChangeMark) -> bool {
-        let _ = self.leaving.note_leaving(now, server_key(id), revision);
+        let _ = self.leaving.record_leaving(now, server_key(id), revision);
         self.leaving.forget_old(now);
         self.prune_draining_lives(now);
         let removed = self.servers.remove(id);
@@ -222,10 +222,10 @@
     }
 
     /// Takes out every server but those in `listed`, the list as of `revision`.
-    pub fn keep_only(&mut self, now: Moment, listed: &[ServerId], revision: ChangeMark) {
+    pub fn retain_listed(&mut self, now: Moment, listed: &[ServerId], revision: ChangeMark) {
         let listed: HashSet<&ServerId> = listed.iter().collect();
         for id in self.servers.keys().filter(|id| !listed.contains(id)) {
-            let _ = self.leaving.note_leaving(now, server_key(id), revision);
+            let _ = self.leaving.record_leaving(now, server_key(id), revision);
         }
         self.leaving.forget_old(now);
         self.prune_draining_lives(now);
@@ -251,12 +251,12 @@
     }
 
     /// Another entry has heard that a server is leaving, or is back; tells whether that is news.
-    pub fn note_told(&mut self, now: Moment, notice: LeavingNotice) -> bool {
-        self.leaving.note_told(now, notice)
+    pub fn merge_leaving(&mut self, now: Moment, notice: LeavingNotice) -> bool {
+        self.leaving.merge(now, notice)
     }
 
     /// Servers that are leaving, for other entries.
-    pub fn recently_leaving(&self, now: Moment) -> Vec<LeavingNotice> {
+    pub fn recent_leaving(&self, now: Moment) -> Vec<LeavingNotice> {
         self.leaving.recent(now)
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Takes in what other entries have in progress.
-    pub fn set_others(&mut self, others: HashMap<u32, EngineLoad>) {
+    pub fn set_other_loads(&mut self, others: HashMap<u32, EngineLoad>) {
         self.others = others;
     }
 
@@ -276,9 +276,9 @@
     }
 
     /// Takes in which failure domains are out of reach; tells whether that is news.
-    pub fn set_silent_domains(&mut self, silent: BTreeSet<DomainKey>) -> bool {
-        let news = self.silent != silent;
-        self.silent = silent;
+    pub fn set_unreachable_domains(&mut self, unreachable: BTreeSet<DomainKey>) -> bool {
+        let news = self.unreachable != unreachable;
+        self.unreachable = unreachable;
         news
     }
 
@@ -293,21 +293,21 @@
     }
 
     /// Takes in what other entries have in progress at one server.
-    pub fn set_other(&mut self, server: u32, load: EngineLoad) {
+    pub fn set_other_load(&mut self, server: u32, load: EngineLoad) {
         self.others.insert(server, load);
     }
 
-    /// Whether a load has changed since [`Self::take_changes`] that others are to hear at once.
-    pub fn has_changes(&self) -> bool {
-        self.servers.values().any(|state| state.untold)
+    /// Whether a load has changed since [`Self::take_load_changes`] that others are to hear at once.
+    pub fn has_urgent_load_changes(&self) -> bool {
+        self.servers.values().any(|state| state.has_urgent_change)
     }
 
     /// What this entry has in progress at servers where that has changed.
-    pub fn take_changes(&mut self) -> Vec<LoadNotice> {
+    pub fn take_load_changes(&mut self) -> Vec<LoadNotice> {
         let changed = self.servers.values_mut().filter(|state| state.changed);
         changed
             .map(|state| {
-                state.untold = false;
+                state.has_urgent_change = false;
                 state.changed = false;
                 LoadNotice { server: state.key, load: state.own }
             })
@@ -336,7 +336,7 @@
     }
 
     /// Whether the end of a server is one that was planned: it is leaving, or has left the list.
-    pub fn ends_as_planned(&self, id: &ServerId) -> bool {
+    pub fn is_planned_shutdown(&self, id: &ServerId) -> bool {
         self.servers.get(id).is_none_or(|state| self.is_leaving(state))
     }
 
@@ -348,7 +348,7 @@
     }
 
     /// Whether a server takes nothing new, by its own word or because its failure domain is being emptied.
-    fn takes_nothing(&self, state: &ServerState) -> bool {
+    fn is_excluded(&self, state: &ServerState) -> bool {
         self.is_leaving(state) || self.evacuated.contains(&state.domain)
     }
 
@@ -366,17 +366,17 @@
             state.own.waiting_tokens += tokens;
             state.waiting += 1;
             if let Some(cold) = &mut state.cold {
-                cold.note_sent();
+                cold.record_sent();
             }
             // Whoever sees an engine idle sends to it: what it has to read must be known at once.
-            state.untold |= tokens > 0;
+            state.has_urgent_change |= tokens > 0;
             state.changed = true;
-            note_change(state, &self.others);
+            mark_urgent_change(state, &self.others);
         }
     }
 
     /// Notes that a server has read a prompt of `tokens` and begun to answer, or never will.
-    pub fn note_read(&mut self, id: &ServerId, tokens: u64) {
+    pub fn finish_prefill(&mut self, id: &ServerId, tokens: u64) {
         if let Some(state) = self.servers.get_mut(id) {
             state.own.waiting_tokens = state.own.waiting_tokens.saturating_sub(tokens);
             // The next tick tells it: until then others only take the engine for a little busier.
@@ -386,7 +386,7 @@
     }
 
     /// Notes what came of a request at `server` as it was when it was chosen.
-    pub fn end_at(&mut self, now: Moment, server: &ChosenServer, outcome: ServerOutcome) {
+    pub fn end_chosen(&mut self, now: Moment, server: &ChosenServer, outcome: ServerOutcome) {
         let state = self.servers.get(&server.id);
         let same_life = state.is_some_and(|state| state.life == server.life);
         // What an earlier life did with it says nothing of this one.
@@ -397,7 +397,7 @@
     /// Notes what came of it.
     pub fn end(&mut self, now: Moment, id: &ServerId, outcome: ServerOutcome) {
         let Some(state) = self.servers.get_mut(id) else { return };
-        note_change(state, &self.others);
+        mark_urgent_change(state, &self.others);
         state.changed = true;
         state.own.in_flight = state.own.in_flight.saturating_sub(1);
         match outcome {
@@ -405,20 +405,20 @@
                 state.failures = 0;
                 state.refusals = 0;
                 state.backoff_until = state.backoff_until.filter(|until| *until > now);
-                note_failure(state, 0.0);
+                update_failure_share(state, 0.0);
             }
             ServerOutcome::Failed => {
                 state.failures = 0;
-                note_failure(state, 1.0);
+                update_failure_share(state, 1.0);
             }
             ServerOutcome::Refused | ServerOutcome::Misdirected => {
-                state.refusals = (state.refusals + 1).min(MOST_DOUBLINGS);
-                state.blocked_until = now + REFUSAL_PAUSE * (1 << (state.refusals - 1));
+                state.refusals = (state.refusals + 1).min(MAX_DOUBLINGS);
+                state.blocked_until = now + REFUSAL_COOLDOWN * (1 << (state.refusals - 1));
             }
             ServerOutcome::Lost => {
-                state.failures = (state.failures + 1).min(MOST_DOUBLINGS);
-                state.blocked_until = now + FAILURE_PAUSE * (1 << (state.failures - 1));
-                note_failure(state, 1.0);
+                state.failures = (state.failures + 1).min(MAX_DOUBLINGS);
+                state.blocked_until = now + FAILURE_COOLDOWN * (1 << (state.failures - 1));
+                update_failure_share(state, 1.0);
             }
             ServerOutcome::Abandoned => {}
         }
@@ -450,19 +450,19 @@
 }
 
 /// Notes that what this entry has in progress at a server changes, if others need to know at once.
-fn note_change(state: &mut ServerState, others: &HashMap<u32, EngineLoad>) {
+fn mark_urgent_change(state: &mut ServerState, others: &HashMap<u32, EngineLoad>) {
     let others = others.get(&state.key).copied().unwrap_or_default();
     let in_flight = state.own.in_flight + others.in_flight;
-    let busy = in_flight * 100 >= state.record.slots.max(1) * BUSY_PERCENT;
-    state.untold |= busy;
+    let busy = in_flight * 100 >= state.record.slots.max(1) * URGENT_LOAD_PERCENT;
+    state.has_urgent_change |= busy;
 }
 
-fn note_failure(state: &mut ServerState, failed: f64) {
+fn update_failure_share(state: &mut ServerState, failed: f64) {
     state.failure_share += (failed - state.failure_share) * FAILURE_WEIGHT;
 }
 
 /// The version that a server is thought to hold whole: its agent knows before the list does.
-fn whole_version(state: &ServerState, layers: u32) -> Option<WeightVersion> {
+fn loaded_version(state: &ServerState, layers: u32) -> Option<WeightVersion> {
     match &state.notice {
         Some(notice) => notice.whole,
         None => state.record.models.iter().find_map(|model| model.whole_version(layers)),
@@ -470,12 +470,12 @@
 }
 
 /// Whether a server holds all of its model in a version that is new enough.
-fn has_weights(state: &ServerState, layers: u32, least: Option<WeightVersion>) -> bool {
-    let version = whole_version(state, layers);
-    version.is_some_and(|version| least.is_none_or(|least| version >= least))
+fn has_weights(state: &ServerState, layers: u32, min_version: Option<WeightVersion>) -> bool {
+    let version = loaded_version(state, layers);
+    version.is_some_and(|version| min_version.is_none_or(|min_version| version >= min_version))
 }
 
 /// Requests that an engine is sent at most where they continue a stream.
-fn continued_limit(state: &ServerState) -> u32 {
-    state.record.slots.max(1) + CONTINUED_QUEUE
+fn continuation_limit(state: &ServerState) -> u32 {
+    state.record.slots.max(1) + CONTINUATION_QUEUE
 }
--- a/crates/core/src/direct/server_table/cold.rs
+++ b/crates/core/src/direct/server_table/cold.rs
@@ -18,13 +18,13 @@
 
 /// The time for which a server is cold, and what this entry has sent it in that time.
 #[derive(Debug, Clone, Copy)]
-pub struct ColdSpan {
+pub struct ColdPeriod {
     since: Moment,
     until: Moment,
     sent: u32,
 }
 
-impl ColdSpan {
+impl ColdPeriod {
     /// A server that is cold for `rest` more; `before` is what was known of it.
     pub fn new(now: Moment, rest: Duration, before: Option<Self>) -> Option<Self> {
         if rest.is_zero() {
@@ -35,7 +35,7 @@
     }
 
     /// Notes that a request has been sent there.
-    pub fn note_sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.sent += 1;
     }
 
--- a/crates/core/src/direct/server_table/limits.rs
+++ b/crates/core/src/direct/server_table/limits.rs
@@ -67,7 +67,7 @@
             let near = candidates.near(service, state.domain, || {
                 let ids = self.services.get(service).into_iter().flatten();
                 let servers = ids.filter_map(|id| self.servers.get(id));
-                let usable = servers.filter(|server| !self.takes_nothing(server));
+                let usable = servers.filter(|server| !self.is_excluded(server));
                 usable.map(|server| server.domain).collect()
             });
             let share = LimitShare::new(state.life, limit, own, near);
@@ -85,7 +85,7 @@
     pub fn retry_after(&self, now: Moment, service: &str) -> Option<Duration> {
         let ids = self.services.get(service)?;
         let usable = ids.iter().filter_map(|id| self.servers.get(id));
-        let usable = usable.filter(|state| !self.takes_nothing(state));
+        let usable = usable.filter(|state| !self.is_excluded(state));
         let pause = |life| match self.limits.wait(now, life) {
             Some(Duration::ZERO) => Duration::ZERO,
             _ => self.limits.pause(life),
@@ -120,10 +120,10 @@
         let served = self.domains.entry(service.clone()).or_insert_with(domains_of);
         let entries = self.entries;
         self.lists.entry((service.clone(), domain)).or_insert_with(|| {
-            let is_near =
+            let is_local =
                 |entry: &&EntryPeer| entry.domain == domain || !served.contains(&entry.domain);
             let near: Vec<EntryKey> =
-                entries.iter().filter(is_near).map(|entry| entry.key).collect();
+                entries.iter().filter(is_local).map(|entry| entry.key).collect();
             match near.is_empty() {
                 true => entries.iter().map(|entry| entry.key).collect(),
                 false => near,
--- a/crates/core/src/direct/server_table/signals.rs
+++ b/crates/core/src/direct/server_table/signals.rs
@@ -34,7 +34,7 @@
     }
 
     /// Draining servers to gossip.
-    pub fn recently_draining_lives(&self, now: Moment) -> Vec<LifeKey> {
+    pub fn recent_draining_lives(&self, now: Moment) -> Vec<LifeKey> {
         self.draining_lives.recent(now)
     }
 
@@ -52,7 +52,7 @@
         let state = self.servers.get(&server.id).filter(|state| state.life == server.life);
         match state {
             None => Err(Ineligible::Gone),
-            Some(state) if self.takes_nothing(state) => Err(Ineligible::Draining),
+            Some(state) if self.is_excluded(state) => Err(Ineligible::Draining),
             Some(state) if !state.backoff(now).is_zero() => Err(Ineligible::BackingOff),
             Some(_) => Ok(()),
         }
--- a/crates/core/src/direct/server_table/changing.rs
+++ b/crates/core/src/direct/server_table/weight_changes.rs
@@ -11,7 +11,7 @@
     traffic::{ServerId, WeightVersion},
 };
 
-use super::{ServerState, ServerTable, continued_limit, has_weights, is_changing};
+use super::{ServerState, ServerTable, continuation_limit, has_weights, is_changing};
 use crate::{direct::peers::DrainNotice, time::Moment};
 
 /// What limits the continuation of streams of one service.
@@ -20,7 +20,7 @@
     /// Layers of the model; 0 if it is not said.
     pub layers: u32,
     /// The least version of weights that may go on.
-    pub least: Option<WeightVersion>,
+    pub min_version: Option<WeightVersion>,
     /// Retries that this entry may still send.
     pub retries: usize,
     /// Some of the streams may go on only within their region.
@@ -49,7 +49,7 @@
                 let begun = state.own.in_flight.saturating_sub(state.waiting);
                 let kept = match full.contains(&state.record.service) {
                     true => begun,
-                    false => state.last_streams,
+                    false => state.pinned_streams,
                 };
                 DrainNotice { server: state.record.address, waiting: state.waiting, kept }
             })
@@ -86,26 +86,26 @@
             let is_limited = self.limits.limit(state.life).is_some();
             !rests
                 && !is_limited
-                && !self.takes_nothing(state)
-                && has_weights(state, limits.layers, limits.least)
+                && !self.is_excluded(state)
+                && has_weights(state, limits.layers, limits.min_version)
         });
         let room = takes
-            .map(|state| continued_limit(state).saturating_sub(self.load(state).in_flight))
+            .map(|state| continuation_limit(state).saturating_sub(self.load(state).in_flight))
             .sum::<u32>();
         room >= moving
     }
 
     /// Notes that a stream which has begun at a server may not be sent to another one any more.
-    pub fn begin_last(&mut self, id: &ServerId) {
+    pub fn begin_pinned_stream(&mut self, id: &ServerId) {
         if let Some(state) = self.servers.get_mut(id) {
-            state.last_streams += 1;
+            state.pinned_streams += 1;
         }
     }
 
     /// Notes the end of such a stream.
-    pub fn end_last(&mut self, id: &ServerId) {
+    pub fn end_pinned_stream(&mut self, id: &ServerId) {
         if let Some(state) = self.servers.get_mut(id) {
-            state.last_streams = state.last_streams.saturating_sub(1);
+            state.pinned_streams = state.pinned_streams.saturating_sub(1);
         }
     }
 }
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -113,10 +113,12 @@
         let mut table = table_in(ZONES[self.zone].0, records);
         for (record, (_, _, in_flight, _)) in records.iter().zip(&self.servers) {
             let load = EngineLoad { in_flight: *in_flight, waiting_tokens: 0 };
-            table.set_other(server_key(&record.id), load);
+            table.set_other_load(server_key(&record.id), load);
         }
         let zone = |index: &usize| -> DomainId { ZONES[*index].0.parse().expect("a name") };
-        table.set_silent_domains(self.silent.iter().map(|at| DomainKey::from(&zone(at))).collect());
+        table.set_unreachable_domains(
+            self.silent.iter().map(|at| DomainKey::from(&zone(at))).collect(),
+        );
         for index in self.lost.iter().filter(|index| **index < records.len()) {
             table.begin(&records[*index].id, 100);
             table.end(at(1), &records[*index].id, ServerOutcome::Lost);
@@ -137,9 +139,9 @@
             service: "llm",
             engine: self.engine.then_some(engine),
             regions: &regions,
-            least: self.least.map(WeightVersion),
+            min_version: self.least.map(WeightVersion),
             tried: &tried,
-            draw: self.draw,
+            random: self.draw,
         };
         let ServerChoice::Server(chosen) = table.choose(at(2), &query) else { return None };
         records.into_iter().find(|record| record.id == chosen.id).map(|record| record.zone)
@@ -170,11 +172,12 @@
     let work = EngineWork::new(&figures, Some(500), Duration::from_millis(400));
     let engine = Some(EngineQuery { figures: &figures, work, continues: false });
     let (least, tried) = (None, &[][..]);
-    let query = ServerQuery { service: "llm", engine, regions, least, tried, draw };
+    let query =
+        ServerQuery { service: "llm", engine, regions, min_version: least, tried, random: draw };
     match table.choose(at(2), &query) {
         ServerChoice::Server(server) => server.id.to_string(),
         ServerChoice::Full(_) => "full".to_owned(),
-        ServerChoice::Nobody => "nobody".to_owned(),
+        ServerChoice::Unavailable => "nobody".to_owned(),
     }
 }
 
@@ -198,7 +201,7 @@
         (0..200u64).map(|draw| choose(&table, &far, draw.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     expect_that!(drawn.filter(|chosen| chosen == "far").count(), eq(200));
     // Its last slots as well.
-    table.set_other(
+    table.set_other_load(
         server_key(&ServerId("far".into())),
         EngineLoad { in_flight: 15, waiting_tokens: 0 },
     );
@@ -231,11 +234,12 @@
     let (one, other) = (server("a", "z1", 1), server("b", "z3", 1));
     let mut table = table_in("z1", &[one.clone(), other]);
     table.begin(&one.id, 100);
-    table.note_read(&one.id, 100);
+    table.finish_prefill(&one.id, 100);
     let changing = changing(&one);
     table.set_notice(one.address, Some(changing));
     let kept = |within_region| {
-        let limits = ContinuationLimits { layers: 0, least: None, retries: 10, within_region };
+        let limits =
+            ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region };
         let drains = table.drains(at(2), &[("llm".into(), limits)].into());
         drains.iter().map(|drain| drain.kept).sum::<u32>()
     };
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -225,14 +225,14 @@
         service: "llm",
         engine: Some(engine),
         regions: &AllowedRegions::Anywhere,
-        least: least.map(WeightVersion),
+        min_version: least.map(WeightVersion),
         tried,
-        draw: 5,
+        random: 5,
     };
     match table.choose(now, &query) {
         ServerChoice::Server(server) => server.id.to_string(),
         ServerChoice::Full(_) => "full".to_owned(),
-        ServerChoice::Nobody => "nobody".to_owned(),
+        ServerChoice::Unavailable => "nobody".to_owned(),
     }
 }
 
@@ -243,7 +243,7 @@
     let near = ServerId("near".into());
     (0..8).for_each(|_| table.begin(&near, 300));
     expect_that!(choose(&table, at(0), None, &[]), eq("far"));
-    (0..8).for_each(|_| table.note_read(&near, 300));
+    (0..8).for_each(|_| table.finish_prefill(&near, 300));
     (0..8).for_each(|_| table.end(at(1), &near, ServerOutcome::Answered));
     expect_that!(choose(&table, at(1), None, &[]), eq("near"));
 }
@@ -252,7 +252,7 @@
 fn what_others_have_in_progress_counts() {
     let mut table = table(&[server("near", "z1", 1)]);
     let load = EngineLoad { in_flight: 18, waiting_tokens: 0 };
-    table.set_others(HashMap::from([(server_key(&ServerId("near".into())), load)]));
+    table.set_other_loads(HashMap::from([(server_key(&ServerId("near".into())), load)]));
     expect_that!(choose(&table, at(0), None, &[]), eq("full"));
 }
 
@@ -332,9 +332,9 @@
         revision: ChangeMark(revision),
         returned,
     };
-    expect_that!(table.note_told(at(0), told(5, false)), eq(true));
+    expect_that!(table.merge_leaving(at(0), told(5, false)), eq(true));
     expect_that!(choose(&table, at(10), None, &[]), eq("nobody"));
-    table.note_told(at(20), told(7, true));
+    table.merge_leaving(at(20), told(7, true));
     expect_that!(choose(&table, at(30), None, &[]), eq("a"));
     // A record that says so itself holds for as long as it stands, whatever is forgotten.
     let draining = ServerRecord { draining: true, ..server("a", "z1", 1) };
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -30,8 +30,8 @@
     table.set_notice(record.address, Some(changing));
     let drain = |waiting| vec![DrainNotice { server: record.address, waiting, kept: 0 }];
     expect_that!(table.drains(at(0), &BTreeMap::new()), eq(&drain(2)));
-    table.note_read(&id, 100);
-    table.note_read(&id, 0);
+    table.finish_prefill(&id, 100);
+    table.finish_prefill(&id, 0);
     expect_that!(table.drains(at(0), &BTreeMap::new()), eq(&drain(0)));
 }
 
@@ -42,7 +42,7 @@
     let id = ServerId("a".into());
     for _ in 0..3 {
         table.begin(&id, 100);
-        table.note_read(&id, 100);
+        table.finish_prefill(&id, 100);
     }
     for _ in 0..elsewhere {
         table.begin(&other.id, 0);
@@ -59,18 +59,19 @@
 
 #[gtest]
 fn an_entry_tells_which_streams_nobody_could_go_on_with() {
-    let limits = ContinuationLimits { layers: 0, least: None, retries: 10, within_region: false };
+    let limits =
+        ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region: false };
     let (mut table, id, record) = table_with_streams(0);
     expect_that!(kept_streams(&table, limits), eq(0));
     // One has no attempt left.
-    table.begin_last(&id);
+    table.begin_pinned_stream(&id);
     expect_that!(kept_streams(&table, limits), eq(1));
-    table.end_last(&id);
+    table.end_pinned_stream(&id);
     expect_that!(kept_streams(&table, limits), eq(0));
     // Retries are used up; the others' weights are too old.
     expect_that!(kept_streams(&table, ContinuationLimits { retries: 2, ..limits }), eq(3));
     let least = Some(WeightVersion(2));
-    expect_that!(kept_streams(&table, ContinuationLimits { least, ..limits }), eq(3));
+    expect_that!(kept_streams(&table, ContinuationLimits { min_version: least, ..limits }), eq(3));
     // The other server has no room.
     let room = record.slots + 6;
     let (full, ..) = table_with_streams(room - 2);
@@ -85,9 +86,9 @@
         service: "llm",
         engine: None,
         regions: &AllowedRegions::Anywhere,
-        least: None,
+        min_version: None,
         tried: &[],
-        draw: 1,
+        random: 1,
     };
     match table.choose(at(0), &query) {
         ServerChoice::Server(server) => server,
@@ -97,7 +98,8 @@
 
 #[gtest]
 fn a_rate_limited_server_has_no_room_for_streams_of_others() {
-    let limits = ContinuationLimits { layers: 0, least: None, retries: 10, within_region: false };
+    let limits =
+        ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region: false };
     let (mut table, ..) = table_with_streams(0);
     let other = other_server(&table);
     table.record_limit(at(0), other.life, Some(RequestRate::from_milli(2000)), at(0));
@@ -106,7 +108,8 @@
 
 #[gtest]
 fn a_server_in_backoff_has_no_room_for_streams_of_others() {
-    let limits = ContinuationLimits { layers: 0, least: None, retries: 10, within_region: false };
+    let limits =
+        ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region: false };
     let (mut table, ..) = table_with_streams(0);
     let other = other_server(&table);
     table.start_backoff(at(0), &other, millis(500));
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -37,9 +37,9 @@
         service: "llm",
         engine: Some(EngineQuery { figures: &figures, work, continues }),
         regions: &AllowedRegions::Anywhere,
-        least: None,
+        min_version: None,
         tried: &[],
-        draw: now,
+        random: now,
     };
     match table.choose(at(now), &query) {
         ServerChoice::Server(server) => Some(server.id.to_string()),
@@ -57,7 +57,7 @@
         expect_that!(choose(&table, 0, continues), some(eq("far")));
     }
     // Nobody else is there: nothing goes back.
-    table.set_silent_domains([domain("z2")].into());
+    table.set_unreachable_domains([domain("z2")].into());
     table.set_evacuated_domains([domain("z1"), domain("z2")].into());
     expect_that!(choose(&table, 0, false), none());
     table.set_evacuated_domains(BTreeSet::new());
@@ -71,13 +71,13 @@
         domains: names.iter().map(|name| domain(name)).collect(),
     };
     let mut known = EvacuatedDomains::default();
-    expect_that!(known.take(&set(5, &["z1"])), eq(true));
+    expect_that!(known.merge(&set(5, &["z1"])), eq(true));
     // An older list comes late, and one of a later place says the same.
-    expect_that!(known.take(&set(4, &[])), eq(false));
-    expect_that!(known.take(&set(6, &["z1"])), eq(false));
+    expect_that!(known.merge(&set(4, &[])), eq(false));
+    expect_that!(known.merge(&set(6, &["z1"])), eq(false));
     let next = known.with_changes(ChangeMark(9), [(domain("z1"), false), (domain("z2"), true)]);
     expect_that!(next, eq(&set(9, &["z2"])));
-    expect_that!(known.take(&next), eq(true));
+    expect_that!(known.merge(&next), eq(true));
     expect_that!(known, eq(&next));
 }
 
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -6,7 +6,7 @@
 use headlatch_core::{
     direct::{
         fact_age::ChangeMark,
-        leaving::{LeavingNotice, LeavingServers, MOST_LEAVING},
+        leaving::{LeavingNotice, LeavingServers, MAX_LEAVING_NOTICES},
         server_table::{Ineligible, ServerChoice, ServerQuery, ServerTable},
     },
     time::Moment,
@@ -24,42 +24,42 @@
 #[gtest]
 fn a_server_that_others_have_heard_to_be_leaving_is_lifted_by_a_newer_record_alone() {
     let mut servers = LeavingServers::default();
-    expect_that!(servers.note_ready(at(0), 7, mark(5)), eq(false));
+    expect_that!(servers.record_ready(at(0), 7, mark(5)), eq(false));
     expect_that!(servers.is_leaving(7), eq(false));
-    expect_that!(servers.note_leaving(at(10), 7, mark(9)), eq(true));
-    expect_that!(servers.note_leaving(at(20), 7, mark(9)), eq(false));
+    expect_that!(servers.record_leaving(at(10), 7, mark(9)), eq(true));
+    expect_that!(servers.record_leaving(at(20), 7, mark(9)), eq(false));
     expect_that!(servers.is_leaving(7), eq(true));
     // An old list says what was before.
-    servers.note_ready(at(30), 7, mark(5));
+    servers.record_ready(at(30), 7, mark(5));
     expect_that!(servers.is_leaving(7), eq(true));
     // It lapsed while the store was away, and is back.
-    servers.note_ready(at(40), 7, mark(12));
+    servers.record_ready(at(40), 7, mark(12));
     expect_that!(servers.is_leaving(7), eq(false));
     // Somebody who has not heard that tells the old word still.
-    expect_that!(servers.note_leaving(at(50), 7, mark(9)), eq(false));
+    expect_that!(servers.record_leaving(at(50), 7, mark(9)), eq(false));
     expect_that!(servers.is_leaving(7), eq(false));
 }
 
 #[gtest]
 fn a_server_that_went_without_a_revision_of_its_own_is_gone() {
     let mut servers = LeavingServers::default();
-    servers.note_ready(at(0), 7, mark(5));
-    expect_that!(servers.note_leaving(at(10), 7, mark(5)), eq(true));
-    servers.note_ready(at(20), 7, mark(6));
+    servers.record_ready(at(0), 7, mark(5));
+    expect_that!(servers.record_leaving(at(10), 7, mark(5)), eq(true));
+    servers.record_ready(at(20), 7, mark(6));
     expect_that!(servers.is_leaving(7), eq(false));
 }
 
 #[gtest]
 fn leaving_servers_are_told_for_some_seconds_and_not_echoed_for_ever() {
     let (mut one, mut other) = (LeavingServers::default(), LeavingServers::default());
-    one.note_leaving(at(0), 7, mark(9));
+    one.record_leaving(at(0), 7, mark(9));
     for second in 0..60 {
         let now = at(second * 1000);
         for told in one.recent(now) {
-            other.note_told(now, told);
+            other.merge(now, told);
         }
         for told in other.recent(now) {
-            one.note_told(now, told);
+            one.merge(now, told);
         }
     }
     expect_that!(one.recent(at(60_000)), is_empty());
@@ -71,30 +71,30 @@
 fn the_newest_are_told_where_many_leave() {
     let mut servers = LeavingServers::default();
     for server in 0..100 {
-        servers.note_leaving(at(0), server, mark(u64::from(server) + 1));
+        servers.record_leaving(at(0), server, mark(u64::from(server) + 1));
     }
     let told = servers.recent(at(0));
-    expect_that!(told.len(), eq(MOST_LEAVING));
+    expect_that!(told.len(), eq(MAX_LEAVING_NOTICES));
     expect_that!(told[0], eq(LeavingNotice { server: 99, revision: mark(100), returned: false }));
 }
 
 #[gtest]
 fn a_server_that_is_back_is_told_to_those_that_do_not_hear_the_store() {
     let (mut reads, mut silent) = (LeavingServers::default(), LeavingServers::default());
-    silent.note_ready(at(0), 7, mark(5));
-    reads.note_ready(at(0), 7, mark(5));
-    reads.note_leaving(at(100), 7, mark(9));
+    silent.record_ready(at(0), 7, mark(5));
+    reads.record_ready(at(0), 7, mark(5));
+    reads.record_leaving(at(100), 7, mark(9));
     reads.recent(at(200)).into_iter().for_each(|told| {
-        silent.note_told(at(200), told);
+        silent.merge(at(200), told);
     });
     expect_that!(silent.is_leaving(7), eq(true));
-    expect_that!(reads.note_ready(at(2000), 7, mark(12)), eq(true));
+    expect_that!(reads.record_ready(at(2000), 7, mark(12)), eq(true));
     reads.recent(at(2100)).into_iter().for_each(|told| {
-        silent.note_told(at(2100), told);
+        silent.merge(at(2100), told);
     });
     expect_that!(silent.is_leaving(7), eq(false));
     // Servers that were there all along are not told at all.
-    reads.note_ready(at(2000), 8, mark(3));
+    reads.record_ready(at(2000), 8, mark(3));
     expect_that!(reads.recent(at(2100)).len(), eq(1));
 }
 
@@ -115,9 +115,9 @@
         service: "s",
         engine: None,
         regions: &AllowedRegions::Anywhere,
-        least: None,
+        min_version: None,
         tried: &[],
-        draw: 1,
+        random: 1,
     };
     let chosen = |table: &ServerTable, now| match table.choose(now, &query) {
         ServerChoice::Server(server) => Some(server),
@@ -129,16 +129,16 @@
     expect_that!(table.check_eligibility(at(0), &server), ok(anything()));
     expect_that!(table.mark_draining(at(10), server.life), eq(true));
     expect_that!(table.mark_draining(at(20), server.life), eq(false));
-    expect_that!(table.recently_draining_lives(at(30)), eq(&vec![server.life]));
-    expect_that!(table.recently_draining_lives(at(9000)), is_empty());
+    expect_that!(table.recent_draining_lives(at(30)), eq(&vec![server.life]));
+    expect_that!(table.recent_draining_lives(at(9000)), is_empty());
     // What was chosen before is not sent either.
     expect_that!(table.check_eligibility(at(30), &server), err(eq(Ineligible::Draining)));
     // The store says for long that it is ready, with newer marks too.
     for (millis, revision) in [(40, 1), (5_000, 7), (70_000, 9)] {
         table.set(at(millis), record(1000, false), mark(revision));
-        table.keep_only(at(millis), &[ServerId("i1".into())], mark(revision));
+        table.retain_listed(at(millis), &[ServerId("i1".into())], mark(revision));
         expect_that!(chosen(&table, at(millis)), none());
-        expect_that!(table.ends_as_planned(&server.id), eq(true));
+        expect_that!(table.is_planned_shutdown(&server.id), eq(true));
     }
     // Its record lapses and is back.
     table.remove(at(80_000), &server.id, mark(10));
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -121,12 +121,12 @@
 fn engines_out_of_reach_are_used_only_where_no_other_is_known() {
     let mut both = table(&[engine("near", "z1"), engine("far", "z2")]);
     let far = std::collections::BTreeSet::from([DomainKey::from(&"z2".parse().expect("a name"))]);
-    expect_that!(both.set_silent_domains(far.clone()), eq(true));
+    expect_that!(both.set_unreachable_domains(far.clone()), eq(true));
     let key = server_key(&ServerId("near".into()));
-    both.set_other(key, EngineLoad { in_flight: 12, waiting_tokens: 0 });
+    both.set_other_load(key, EngineLoad { in_flight: 12, waiting_tokens: 0 });
     expect_that!(choose(&both, &figures(), 0), eq("full"));
     let mut alone = table(&[engine("far", "z2")]);
-    alone.set_silent_domains(far);
+    alone.set_unreachable_domains(far);
     expect_that!(choose(&alone, &figures(), 0), eq("far"));
 }
 
@@ -170,14 +170,14 @@
         service: "llm",
         engine: Some(EngineQuery { figures, work, continues: false }),
         regions: &AllowedRegions::Anywhere,
-        least: None,
+        min_version: None,
         tried: &[],
-        draw,
+        random: draw,
     };
     match table.choose(at(0), &query) {
         ServerChoice::Server(server) => server.id.0.to_string(),
         ServerChoice::Full(_) => "full".to_owned(),
-        ServerChoice::Nobody => "nobody".to_owned(),
+        ServerChoice::Unavailable => "nobody".to_owned(),
     }
 }
 
@@ -191,9 +191,9 @@
 fn part_of_an_engine_is_left_to_the_entries_beside_it() {
     let mut table = table(&[engine("far", "z2")]);
     let key = server_key(&ServerId("far".into()));
-    table.set_other(key, EngineLoad { in_flight: 7, waiting_tokens: 0 });
+    table.set_other_load(key, EngineLoad { in_flight: 7, waiting_tokens: 0 });
     expect_that!(choose(&table, &figures(), 0), eq("far"));
-    table.set_other(key, EngineLoad { in_flight: 8, waiting_tokens: 0 });
+    table.set_other_load(key, EngineLoad { in_flight: 8, waiting_tokens: 0 });
     expect_that!(choose(&table, &figures(), 0), eq("full"));
 }
 
@@ -211,16 +211,16 @@
     let mut table = table(&[engine("near", "z1")]);
     let near = ServerId("near".into());
     table.begin(&near, 100);
-    let told = table.take_changes();
+    let told = table.take_load_changes();
     expect_that!(told.first().map(|notice| notice.load.waiting_tokens), some(eq(100)));
-    table.note_read(&near, 100);
-    expect_that!(table.has_changes(), eq(false));
+    table.finish_prefill(&near, 100);
+    expect_that!(table.has_urgent_load_changes(), eq(false));
     table.end(at(1), &near, ServerOutcome::Answered);
-    expect_that!(table.has_changes(), eq(false));
+    expect_that!(table.has_urgent_load_changes(), eq(false));
     (0..8).for_each(|_| table.begin(&near, 100));
-    expect_that!(table.take_changes().first().map(|one| one.load.in_flight), some(eq(8)));
+    expect_that!(table.take_load_changes().first().map(|one| one.load.in_flight), some(eq(8)));
     table.end(at(1), &near, ServerOutcome::Answered);
-    expect_that!(table.take_changes().first().map(|one| one.load.in_flight), some(eq(7)));
+    expect_that!(table.take_load_changes().first().map(|one| one.load.in_flight), some(eq(7)));
 }
 
 #[gtest]
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -48,7 +48,7 @@
     let servers = servers(SERVERS);
     let mut table = table(&servers);
     let ids: Vec<ServerId> = servers.iter().map(|record| record.id.clone()).collect();
-    table.keep_only(at(1), &ids, ChangeMark(2));
+    table.retain_listed(at(1), &ids, ChangeMark(2));
     table.set_notices(&HashMap::new());
     let mut copy = ServerCopy::default();
     for covered in 1..4 {
@@ -71,9 +71,9 @@
             service,
             engine: None,
             regions: &regions,
-            least: None,
+            min_version: None,
             tried: &[],
-            draw: 1,
+            random: 1,
         };
         match table.choose(at(3), &query) {
             headlatch_core::direct::server_table::ServerChoice::Server(server) => {
--- a/crates/core/tests/rate_limits.rs
+++ b/crates/core/tests/rate_limits.rs
@@ -81,9 +81,9 @@
             service: "s",
             engine: None,
             regions: &AllowedRegions::Anywhere,
-            least: None,
+            min_version: None,
             tried: &[],
-            draw: 1,
+            random: 1,
         };
         let ServerChoice::Server(server) = tables[0].choose(Moment::ZERO, &query) else {
             panic!("a server is free")
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -39,9 +39,9 @@
         service: "s",
         engine: None,
         regions: &AllowedRegions::Anywhere,
-        least: None,
+        min_version: None,
         tried: &[],
-        draw: 1,
+        random: 1,
     };
     match table.choose(now, &query) {
         ServerChoice::Server(server) => Some(server),
@@ -72,14 +72,14 @@
     let first = choose(&table, at(0)).expect("a server");
     for _ in 0..5 {
         table.begin(&first.id, 0);
-        table.end_at(at(10), &first, ServerOutcome::Lost);
+        table.end_chosen(at(10), &first, ServerOutcome::Lost);
     }
     expect_that!(choose(&table, at(100)), none());
     table.set(at(100), record(2000), ChangeMark(2));
     expect_that!(choose(&table, at(100)), some(anything()));
     // One that was sent before, and is found to have failed only now, says nothing of this life.
     table.begin(&first.id, 0);
-    table.end_at(at(110), &first, ServerOutcome::Lost);
+    table.end_chosen(at(110), &first, ServerOutcome::Lost);
     expect_that!(choose(&table, at(110)), some(anything()));
 }
 
@@ -113,14 +113,14 @@
     expect_that!(table.retry_after(at(2_000), "s"), some(eq(Duration::from_secs(1))));
     // What was in progress before ends well meanwhile.
     table.begin(&server.id, 0);
-    table.note_read(&server.id, 0);
-    table.end_at(at(2_500), &server, ServerOutcome::Answered);
+    table.finish_prefill(&server.id, 0);
+    table.end_chosen(at(2_500), &server, ServerOutcome::Answered);
     expect_that!(choose(&table, at(2_900)), none());
     expect_that!(choose(&table, at(3_000)), some(anything()));
     table.begin(&server.id, 0);
     expect_that!(choose(&table, at(3_010)), none());
-    table.note_read(&server.id, 0);
-    table.end_at(at(3_020), &server, ServerOutcome::Answered);
+    table.finish_prefill(&server.id, 0);
+    table.end_chosen(at(3_020), &server, ServerOutcome::Answered);
     table.begin(&server.id, 0);
     expect_that!(choose(&table, at(3_030)), some(anything()));
     table.start_backoff(at(3_040), &server, Duration::from_secs(60));
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -295,9 +295,9 @@
             service: "llm",
             engine: Some(engine),
             regions: &AllowedRegions::Anywhere,
-            least: None,
+            min_version: None,
             tried: &[],
-            draw: self.random.random(),
+            random: self.random.random(),
         };
         let choice = self.tables[job.entry].choose(self.now, &query);
         let new = NewRequest {
@@ -339,7 +339,7 @@
         for mut job in engine.reading.drain(..) {
             job.first = Some(self.now);
             let server = job.server.as_ref().expect("it has been sent");
-            self.tables[job.entry].note_read(&server.id, job.prompt);
+            self.tables[job.entry].finish_prefill(&server.id, job.prompt);
             let left = job.answer;
             engine.active.push((job, left));
         }
@@ -374,7 +374,7 @@
                 let sum = others.entry(notice.server).or_default();
                 *sum = *sum + notice.load;
             }
-            table.set_others(others);
+            table.set_other_loads(others);
         }
     }
 
--- a/crates/daemon/src/direct/attempt.rs
+++ b/crates/daemon/src/direct/attempt.rs
@@ -65,7 +65,7 @@
     /// Notes that the server has read the prompt.
     pub fn note_read(&self) {
         if !self.read.swap(true, Ordering::Relaxed) {
-            self.state.servers().note_read(&self.server.id, self.tokens);
+            self.state.servers().finish_prefill(&self.server.id, self.tokens);
             self.state.tell_loads();
         }
     }
@@ -73,7 +73,7 @@
     /// Notes that the request has begun and may not be sent to another server any more.
     pub fn note_last(&self) {
         if !self.last.swap(true, Ordering::Relaxed) {
-            self.state.servers().begin_last(&self.server.id);
+            self.state.servers().begin_pinned_stream(&self.server.id);
         }
     }
 
@@ -87,9 +87,9 @@
         self.note_read();
         if !self.ended.swap(true, Ordering::Relaxed) {
             if self.last.load(Ordering::Relaxed) {
-                self.state.servers().end_last(&self.server.id);
+                self.state.servers().end_pinned_stream(&self.server.id);
             }
-            self.state.servers().end_at(self.state.now(), &self.server, outcome);
+            self.state.servers().end_chosen(self.state.now(), &self.server, outcome);
             self.state.tell_loads();
         }
     }
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -100,7 +100,7 @@
 
 impl EntryNotices {
     fn tell_changes(&mut self) {
-        let changes = self.state.servers().take_changes();
+        let changes = self.state.servers().take_load_changes();
         if !changes.is_empty() {
             let mail = self.writer.changes(&self.state.peers(), changes);
             mail.send(&self.socket);
@@ -119,7 +119,7 @@
         self.choose_reach();
         if self.reach == NoticeReach::Mesh {
             // The full list that goes out tells the changes as well.
-            let _ = self.state.servers().take_changes();
+            let _ = self.state.servers().take_load_changes();
             let body = entry_body(&self.state, false);
             let mails = self.writer.tick(&self.state.peers(), body);
             return self.send(&mails);
@@ -271,8 +271,8 @@
 fn facts_body(state: &EntryState) -> NoticeBody {
     let now = state.now();
     let servers = state.servers();
-    let (leaving, limits) = (servers.recently_leaving(now), servers.recent_limits(now));
-    let draining_lives = servers.recently_draining_lives(now);
+    let (leaving, limits) = (servers.recent_leaving(now), servers.recent_limits(now));
+    let draining_lives = servers.recent_draining_lives(now);
     drop(servers);
     NoticeBody {
         plan: state.plan_version().0,
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -5,7 +5,7 @@
 use headlatch_core::{
     direct::{
         server_table::{
-            ChosenServer, EngineQuery, FullServers, ServerChoice, ServerOutcome, ServerQuery,
+            ChosenServer, EngineQuery, ExclusionCounts, ServerChoice, ServerOutcome, ServerQuery,
         },
         shedding::{NewRequest, RequestLot},
         suspects::{EndedRun, QUARANTINE_TIME},
@@ -183,9 +183,9 @@
                 continues: self.begun,
             }),
             regions,
-            least: attempt::least_version(&self.state, &self.request),
+            min_version: attempt::least_version(&self.state, &self.request),
             tried: &self.tried,
-            draw: rand::rng().random(),
+            random: rand::rng().random(),
         };
         self.state.servers().choose(self.state.now(), &query)
     }
@@ -259,8 +259,10 @@
                 self.log("servers_full", describe_full(&full));
                 return Err("servers_full");
             }
-            ServerChoice::Nobody if regions == AllowedRegions::Anywhere => return Err("no_server"),
-            ServerChoice::Nobody => {
+            ServerChoice::Unavailable if regions == AllowedRegions::Anywhere => {
+                return Err("no_server");
+            }
+            ServerChoice::Unavailable => {
                 self.log(NOT_ALLOWED, json!({ "allowed_regions": regions.to_string() }));
                 return Err(NOT_ALLOWED);
             }
@@ -323,7 +325,7 @@
             return;
         }
         let digests = &self.request.digests;
-        let planned = self.state.servers().ends_as_planned(&server.id);
+        let planned = self.state.servers().is_planned_shutdown(&server.id);
         let fields = json!({
             "server": server.id, "life": server.life.to_string(), "run": format!("{run:?}"),
             "planned": planned, "without_query": digests.without_query.to_string(),
@@ -450,11 +452,11 @@
 }
 
 /// What kept the request from every server, for logs.
-fn describe_full(full: &FullServers) -> serde_json::Value {
+fn describe_full(full: &ExclusionCounts) -> serde_json::Value {
     json!({
-        "limited": full.limited, "late": full.late, "left_to_near": full.left_to_near,
+        "limited": full.limited, "late": full.late, "left_to_near": full.reserved_for_local,
         "rate_limited": full.rate_limited, "backing_off": full.backing_off,
-        "least_predicted_ms": full.least_predicted.map(|time| time.as_millis() as u64),
+        "least_predicted_ms": full.earliest_predicted.map(|time| time.as_millis() as u64),
     })
 }
 
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -428,7 +428,12 @@
         let entries = self.entries();
         let retries = self.retries().left(now, service, entries);
         let within_region = routes.plan().restricts_regions(service);
-        Some(ContinuationLimits { layers: engine.layers, least, retries, within_region })
+        Some(ContinuationLimits {
+            layers: engine.layers,
+            min_version: least,
+            retries,
+            within_region,
+        })
     }
 
     /// Takes in what others have in progress; tells whether what agents tell is to be taken in anew
@@ -443,7 +448,7 @@
             (peers.loads(), gone, peers.silent_domains(self.now()), entries, holders)
         };
         let mut servers = self.servers();
-        servers.set_others(loads);
+        servers.set_other_loads(loads);
         servers.set_entries(entries);
         if servers.has_limits() {
             servers.assign_limit_shares(self.now(), self.settings.node.control.into(), &holders);
@@ -455,7 +460,7 @@
         }
         drop(known);
         let names: Vec<String> = silent.iter().map(DomainKey::to_string).collect();
-        let news = servers.set_silent_domains(silent);
+        let news = servers.set_unreachable_domains(silent);
         drop(servers);
         if news {
             decisions::note("peers", "domains_out_of_reach", json!({ "domains": names }));
@@ -475,12 +480,12 @@
         let loads: Vec<_> = servers.iter().map(|key| (*key, peers.load_of(*key))).collect();
         drop(peers);
         let mut table = self.servers();
-        loads.into_iter().for_each(|(key, load)| table.set_other(key, load));
+        loads.into_iter().for_each(|(key, load)| table.set_other_load(key, load));
     }
 
     /// Has the other entries of the failure domain told what has changed at busy servers.
     pub fn tell_loads(&self) {
-        if self.servers().has_changes() {
+        if self.servers().has_urgent_load_changes() {
             self.load_news.notify_one();
         }
     }
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -46,7 +46,7 @@
 
     /// Takes over the failure domains that are being emptied where that is newer than what is known.
     pub fn take_evacuated(&self, told: &EvacuatedDomains) {
-        if !lock(&self.evacuated).take(told) {
+        if !lock(&self.evacuated).merge(told) {
             return;
         }
         let names: Vec<String> = told.domains.iter().map(DomainKey::to_string).collect();
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -85,7 +85,7 @@
         if changes.whole {
             let listed: Vec<ServerId> =
                 changes.set.iter().map(|marked| marked.record.id.clone()).collect();
-            self.servers().keep_only(self.now(), &listed, changes.covered);
+            self.servers().retain_listed(self.now(), &listed, changes.covered);
             let fields = json!({ "servers": listed.len(), "at": changes.covered.0 });
             decisions::note("servers", "listed", fields);
         }
@@ -129,7 +129,7 @@
     pub fn hear_leaving(&self, leaving: &[LeavingNotice]) {
         let now = self.now();
         for notice in leaving {
-            if self.servers().note_told(now, *notice) {
+            if self.servers().merge_leaving(now, *notice) {
                 let fields = json!({
                     "server_key": notice.server, "revision": notice.revision.0,
                     "returned": notice.returned,
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -7,11 +7,11 @@
     direct::{
         engine_model::EngineLoad,
         fact_age::ChangeMark,
-        leaving::{LeavingNotice, MOST_LEAVING},
+        leaving::{LeavingNotice, MAX_LEAVING_NOTICES},
         peers::{
             DomainKey, LoadNotice, NAMED_PEERS, PeerKind, PeerNotice, PeerTable, WantedNotice,
         },
-        rate_limits::{LimitNotice, MOST_LIMITS},
+        rate_limits::{LimitNotice, MAX_LIMIT_NOTICES},
         suspects::{EndedRun, LifeKey, MOST_TOLD, SuspectNotice},
     },
     time::Moment,
@@ -141,10 +141,10 @@
     let full = PeerNotice { peers: vec![address(NEAR, 4); NAMED_PEERS], ..notice };
     expect_that!(encode(&full).len(), lt(700));
     let word = LeavingNotice { server: u32::MAX, revision: ChangeMark(1 << 40), returned: false };
-    let leaving = PeerNotice { leaving: vec![word; MOST_LEAVING], ..full };
+    let leaving = PeerNotice { leaving: vec![word; MAX_LEAVING_NOTICES], ..full };
     expect_that!(encode(&leaving).len(), lt(MOST_DATAGRAM / 4));
     let limit = limit(Some(RequestRate::from_milli(u64::MAX)));
-    let limits = PeerNotice { limits: vec![limit; MOST_LIMITS], ..leaving };
+    let limits = PeerNotice { limits: vec![limit; MAX_LIMIT_NOTICES], ..leaving };
     expect_that!(encode(&limits).len(), lt(MOST_DATAGRAM / 2));
     expect_that!(decode(b"no notice"), none());
 }
@@ -173,7 +173,7 @@
 /// Sixty-four servers that leave, of which every notice in full tells.
 fn leaving() -> Vec<LeavingNotice> {
     let notice = |server| LeavingNotice { server, revision: ChangeMark(9), returned: false };
-    (0..MOST_LEAVING as u32).map(notice).collect()
+    (0..MAX_LEAVING_NOTICES as u32).map(notice).collect()
 }
 
 /// After a loss of power of hundreds of processes everybody knows hundreds of addresses of others and
