--- a/crates/core/src/direct/evacuation.rs
+++ b/crates/core/src/direct/evacuation.rs
@@ -24,9 +24,9 @@
             return false;
         }
         self.mark = told.mark;
-        let news = self.domains != told.domains;
+        let changed = self.domains != told.domains;
         self.domains.clone_from(&told.domains);
-        news
+        changed
     }
 
     /// The set as of a later place, up to which these are the changes: a failure domain, and whether it
--- a/crates/core/src/direct/leaving.rs
+++ b/crates/core/src/direct/leaving.rs
@@ -58,11 +58,11 @@
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
         marks.ready = marks.ready.max(revision);
-        let news = before && !marks.is_leaving();
-        if news {
+        let changed = before && !marks.is_leaving();
+        if changed {
             marks.learned_at = now;
         }
-        news
+        changed
     }
 
     /// Takes in what another entry has heard; tells whether that is news.
@@ -78,11 +78,11 @@
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
         marks.leaving = marks.leaving.max(Some(revision));
-        let news = marks.is_leaving() && !before;
-        if news {
+        let changed = marks.is_leaving() && !before;
+        if changed {
             marks.learned_at = now;
         }
-        news
+        changed
     }
 
     /// Whether a server is leaving.
@@ -131,9 +131,9 @@
 impl DrainingLives {
     /// Adds a server; returns whether it is new.
     pub fn note(&mut self, now: Moment, life: LifeKey) -> bool {
-        let is_news = !self.lives.contains_key(&life);
+        let is_new = !self.lives.contains_key(&life);
         self.lives.entry(life).or_insert(DrainingLife { learned_at: now, listed: now });
-        is_news
+        is_new
     }
 
     /// Whether there is none.
--- a/crates/core/src/direct/server_table.rs
+++ b/crates/core/src/direct/server_table.rs
@@ -277,9 +277,9 @@
 
     /// Takes in which failure domains are out of reach; tells whether that is news.
     pub fn set_unreachable_domains(&mut self, unreachable: BTreeSet<DomainKey>) -> bool {
-        let news = self.unreachable != unreachable;
+        let changed = self.unreachable != unreachable;
         self.unreachable = unreachable;
-        news
+        changed
     }
 
     /// Takes in how much cold servers are sent at most.
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -157,7 +157,7 @@
     })]
 
     #[test]
-    fn no_choice_leaves_the_regions_of_a_route(case in cases()) {
+    fn selection_stays_within_allowed_regions(case in cases()) {
         let zone = case.chosen();
         let region = zone.as_ref().map(region_of);
         proptest::prop_assert!(
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn without_an_allowed_server_nobody_is_chosen() {
+fn no_server_is_chosen_outside_allowed_regions() {
     let table = table_in("z1", &[server("near", "z1", 1), server("unknown", "z4", 1)]);
     expect_that!(choose(&table, &only(&["r1"]), 1), eq("near"));
     expect_that!(choose(&table, &only(&["r2"]), 1), eq("nobody"));
@@ -193,7 +193,7 @@
 /// Servers of other failure domains are mostly left to the entries there, but not by those whose requests
 /// may run nowhere else.
 #[gtest]
-fn a_far_region_is_used_in_full_by_requests_that_may_run_there_alone() {
+fn remote_region_is_fully_used_by_requests_restricted_to_it() {
     let mut table = table_in("z1", &[server("near", "z1", 1), server("far", "z3", 1)]);
     table.set_entries(500);
     let far = only(&["r2"]);
@@ -209,7 +209,7 @@
 }
 
 #[gtest]
-fn requests_of_a_full_region_are_refused_without_those_that_may_run_anywhere() {
+fn shedding_of_restricted_requests_spares_unrestricted_ones() {
     let (mut shedder, figures) = (LoadShedder::default(), figures());
     let (service, restricted) = ("llm".into(), only(&["r1"]));
     let full = EngineRoom::Best(EngineLoad { in_flight: 16, waiting_tokens: 40_000 });
@@ -230,7 +230,7 @@
 
 /// Streams that may go on in their region only are kept where the room there is not enough.
 #[gtest]
-fn streams_of_a_region_without_room_are_kept_from_a_change() {
+fn streams_in_region_without_capacity_delay_change() {
     let (one, other) = (server("a", "z1", 1), server("b", "z3", 1));
     let mut table = table_in("z1", &[one.clone(), other]);
     table.begin(&one.id, 100);
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_answers() {
+fn longest_path_prefix_of_host_wins() {
     let table =
         RouteTable::new(Arc::new(plan(vec![route("short", "/a/"), route("long", "/a/b/")])));
     expect_that!(table.route("A.example:80", "/a/b/c").map(|one| &*one.name), ok(eq("long")));
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_key_that_no_tenant_has_is_denied() {
+fn unknown_api_key_is_denied() {
     let table = RouteTable::new(Arc::new(plan(vec![route("one", "/a/")])));
     let one = table.route("a.example", "/a/").expect("it is there").clone();
     expect_that!(table.tenant(&one, Some("k")).map(|one| one.is_some()), ok(eq(true)));
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn targets_get_their_shares() {
+fn targets_are_picked_by_weight() {
     let mut one = route("one", "/a/");
     one.targets = vec![
         RouteTarget { service: "a".into(), weight: 90 },
@@ -92,7 +92,7 @@
 }
 
 #[gtest]
-fn retries_stay_within_the_share_of_one_entry() {
+fn retries_stay_within_share_of_entry() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
     (0..100).for_each(|_| share.note_request(at(4_000), "llm"));
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn entries_that_come_and_go_do_not_enlarge_the_shares_of_the_others() {
+fn membership_changes_do_not_enlarge_retry_shares() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
     // Just started: nobody is known yet, and the slack is everybody's.
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn only_whole_events_come_out() {
+fn splitter_returns_only_complete_events() {
     let mut splitter = EventSplitter::default();
     expect_that!(splitter.push(b"id: 1\ndata: a"), is_empty());
     let events = splitter.push(b"\n\nid: 2\ndata: b\n\nid: 3\nda");
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn events_come_out_alike_however_their_bytes_are_cut() {
+fn splitter_output_is_independent_of_chunk_boundaries() {
     let text = b"weight-versions: 2\nid: 7\ndata: x\n\nid: 8\r\ndata: y\r\n\r\n: note\n\n";
     let whole = EventSplitter::default().push(text);
     for cut in 0..text.len() {
@@ -162,7 +162,7 @@
 }
 
 #[gtest]
-fn old_weights_get_nothing_from_a_fixed_time_before_the_end_on() {
+fn old_weights_are_excluded_before_their_deadline() {
     let mut weights = WeightDeadlines::default();
     let time = Duration::from_secs(8);
     expect_that!(weights.learn(at(0), &model(), WeightVersion(2)), eq(true));
@@ -209,7 +209,7 @@
 }
 
 #[gtest]
-fn prompts_that_wait_put_off_the_first_token() {
+fn queued_prompts_delay_first_token() {
     let idle = first_token(&figures(), EngineLoad::default(), work(1000));
     let behind = EngineLoad { in_flight: 4, waiting_tokens: 4000 };
     let full = EngineLoad { in_flight: 18, waiting_tokens: 0 };
@@ -237,7 +237,7 @@
 }
 
 #[gtest]
-fn the_near_zone_comes_first_until_it_is_loaded() {
+fn local_failure_domain_is_preferred_until_loaded() {
     let mut table = table(&[server("near", "z1", 1), server("far", "z2", 1)]);
     expect_that!(choose(&table, at(0), None, &[]), eq("near"));
     let near = ServerId("near".into());
@@ -249,7 +249,7 @@
 }
 
 #[gtest]
-fn what_others_have_in_progress_counts() {
+fn load_of_other_entries_counts() {
     let mut table = table(&[server("near", "z1", 1)]);
     let load = EngineLoad { in_flight: 18, waiting_tokens: 0 };
     table.set_other_loads(HashMap::from([(server_key(&ServerId("near".into())), load)]));
@@ -257,21 +257,21 @@
 }
 
 #[gtest]
-fn a_server_without_the_least_version_is_left_out() {
+fn server_below_min_version_is_excluded() {
     let table = table(&[server("old", "z1", 1), server("new", "z2", 2)]);
     expect_that!(choose(&table, at(0), Some(2), &[]), eq("new"));
     expect_that!(choose(&table, at(0), Some(3), &[]), eq("nobody"));
 }
 
 #[gtest]
-fn a_server_that_lacks_layers_is_left_out() {
+fn server_with_missing_layers_is_excluded() {
     let mut part = server("part", "z1", 1);
     part.models[0].layers[0].until = 15;
     expect_that!(choose(&table(&[part]), at(0), None, &[]), eq("nobody"));
 }
 
 #[gtest]
-fn a_draining_or_tried_server_gets_nothing() {
+fn draining_or_tried_server_is_excluded() {
     let mut leaving = server("a", "z1", 1);
     leaving.draining = true;
     let table = table(&[leaving, server("b", "z2", 1)]);
@@ -280,7 +280,7 @@
 }
 
 #[gtest]
-fn an_agent_knows_before_the_list_does() {
+fn agent_notice_overrides_stored_record() {
     let record = server("a", "z1", 1);
     let mut table = table(std::slice::from_ref(&record));
     let notice = |whole: Option<u64>, changing| ServerNotice {
@@ -301,7 +301,7 @@
 }
 
 #[gtest]
-fn a_lost_server_is_let_in_again_by_one_request() {
+fn lost_server_is_probed_with_one_request() {
     let mut table = table(&[server("a", "z1", 1)]);
     let id = ServerId("a".into());
     table.begin(&id, 0);
@@ -315,7 +315,7 @@
 }
 
 #[gtest]
-fn a_refusal_rests_a_server_for_a_moment() {
+fn refusal_starts_short_backoff() {
     let mut table = table(&[server("a", "z1", 1)]);
     let id = ServerId("a".into());
     table.begin(&id, 0);
@@ -325,7 +325,7 @@
 }
 
 #[gtest]
-fn a_server_that_others_know_to_be_leaving_gets_nothing_until_it_is_back() {
+fn server_reported_leaving_is_excluded_until_it_returns() {
     let mut table = table(&[server("a", "z1", 1)]);
     let told = |revision, returned| LeavingNotice {
         server: server_key(&ServerId("a".into())),
@@ -344,7 +344,7 @@
 }
 
 #[gtest]
-fn old_notices_change_nothing_and_silent_peers_are_dropped() {
+fn stale_notices_are_ignored_and_silent_peers_expire() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
     expect_that!(peers.hear(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
     peers.hear(at(1), notice("10.0.0.2:7", 1, 4, 9));
@@ -360,7 +360,7 @@
 }
 
 #[gtest]
-fn a_peer_never_takes_itself_for_another() {
+fn peer_ignores_its_own_address() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
     peers.suggest(at(0), "10.0.0.1:7".parse().expect("an address"));
     peers.hear(at(0), notice("10.0.0.1:7", 1, 1, 1));
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -19,7 +19,7 @@
 use entry::{at, changing, millis, notice, server, table};
 
 #[gtest]
-fn an_entry_confirms_that_a_changing_server_gets_nothing() {
+fn entry_confirms_drain_of_changing_server() {
     let record = server("a", "z1", 1);
     let mut table = table(std::slice::from_ref(&record));
     let id = ServerId("a".into());
@@ -52,32 +52,35 @@
     (table, id, one)
 }
 
-fn kept_streams(table: &ServerTable, limits: ContinuationLimits) -> u32 {
+fn unmovable_streams(table: &ServerTable, limits: ContinuationLimits) -> u32 {
     let limits = [("llm".into(), limits)].into();
     table.drains(at(0), &limits).iter().map(|drain| drain.kept).sum()
 }
 
 #[gtest]
-fn an_entry_tells_which_streams_nobody_could_go_on_with() {
+fn entry_reports_streams_that_cannot_be_resumed() {
     let limits =
         ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region: false };
     let (mut table, id, record) = table_with_streams(0);
-    expect_that!(kept_streams(&table, limits), eq(0));
+    expect_that!(unmovable_streams(&table, limits), eq(0));
     // One has no attempt left.
     table.begin_pinned_stream(&id);
-    expect_that!(kept_streams(&table, limits), eq(1));
+    expect_that!(unmovable_streams(&table, limits), eq(1));
     table.end_pinned_stream(&id);
-    expect_that!(kept_streams(&table, limits), eq(0));
+    expect_that!(unmovable_streams(&table, limits), eq(0));
     // Retries are used up; the others' weights are too old.
-    expect_that!(kept_streams(&table, ContinuationLimits { retries: 2, ..limits }), eq(3));
+    expect_that!(unmovable_streams(&table, ContinuationLimits { retries: 2, ..limits }), eq(3));
     let least = Some(WeightVersion(2));
-    expect_that!(kept_streams(&table, ContinuationLimits { min_version: least, ..limits }), eq(3));
+    expect_that!(
+        unmovable_streams(&table, ContinuationLimits { min_version: least, ..limits }),
+        eq(3)
+    );
     // The other server has no room.
     let room = record.slots + 6;
     let (full, ..) = table_with_streams(room - 2);
-    expect_that!(kept_streams(&full, limits), eq(3));
+    expect_that!(unmovable_streams(&full, limits), eq(3));
     let (free, ..) = table_with_streams(room - 3);
-    expect_that!(kept_streams(&free, limits), eq(0));
+    expect_that!(unmovable_streams(&free, limits), eq(0));
 }
 
 /// The server that the streams would have to go on at.
@@ -103,7 +106,7 @@
     let (mut table, ..) = table_with_streams(0);
     let other = other_server(&table);
     table.record_limit(at(0), other.life, Some(RequestRate::from_milli(2000)), at(0));
-    expect_that!(kept_streams(&table, limits), eq(3));
+    expect_that!(unmovable_streams(&table, limits), eq(3));
 }
 
 #[gtest]
@@ -113,7 +116,7 @@
     let (mut table, ..) = table_with_streams(0);
     let other = other_server(&table);
     table.start_backoff(at(0), &other, millis(500));
-    expect_that!(kept_streams(&table, limits), eq(3));
+    expect_that!(unmovable_streams(&table, limits), eq(3));
 }
 
 #[gtest]
@@ -136,7 +139,7 @@
 }
 
 #[gtest]
-fn every_living_entry_must_confirm_a_drain() {
+fn every_live_entry_must_confirm_drain() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
     let server = "10.0.0.9:80".parse().expect("an address");
     let confirmed = |from, waiting| PeerNotice {
@@ -182,7 +185,7 @@
 
 /// A server that was started again under another id is listed beside its former self for a while.
 #[gtest]
-fn what_an_agent_tells_holds_for_every_record_at_its_address() {
+fn agent_notice_applies_to_every_record_at_its_address() {
     let former = server("a", "z1", 1);
     let again = ServerRecord { address: former.address, ..server("b", "z1", 1) };
     let mut table = table(&[former.clone(), again]);
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn a_failure_domain_that_is_being_emptied_gets_nothing_new() {
+fn evacuated_failure_domain_gets_no_requests() {
     let mut table = table(&[server("near", "z1", 1), server("far", "z2", 1)]);
     table.set_entries(1);
     expect_that!(choose(&table, 0, false), some(eq("near")));
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn the_set_of_the_latest_place_counts_whoever_tells_it() {
+fn evacuation_set_with_latest_revision_wins() {
     let set = |mark, names: &[&str]| EvacuatedDomains {
         mark: ChangeMark(mark),
         domains: names.iter().map(|name| domain(name)).collect(),
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn a_cold_server_gets_no_more_a_second_than_it_bears_however_many_entries_there_are() {
+fn cold_rate_holds_for_any_number_of_entries() {
     for entries in [1, 7, 34, 546] {
         for sent in sent_by_second(entries) {
             expect_that!(sent, all!(ge(12), le(COLD_RATE as usize + 2)), "{entries} entries");
@@ -119,7 +119,7 @@
 }
 
 #[gtest]
-fn a_server_that_is_warm_or_without_a_bound_is_chosen_at_once() {
+fn warm_or_unlimited_server_is_chosen_immediately() {
     let table = cold_table(0.0, 34);
     expect_that!(choose(&table, 0, false), none());
     expect_that!(choose(&table, 3_000, false), some(eq("cold")));
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn a_server_that_others_have_heard_to_be_leaving_is_lifted_by_a_newer_record_alone() {
+fn only_newer_record_ends_leaving_state() {
     let mut servers = LeavingServers::default();
     expect_that!(servers.record_ready(at(0), 7, mark(5)), eq(false));
     expect_that!(servers.is_leaving(7), eq(false));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn a_server_that_went_without_a_revision_of_its_own_is_gone() {
+fn deletion_with_unchanged_revision_counts_as_leaving() {
     let mut servers = LeavingServers::default();
     servers.record_ready(at(0), 7, mark(5));
     expect_that!(servers.record_leaving(at(10), 7, mark(5)), eq(true));
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn leaving_servers_are_told_for_some_seconds_and_not_echoed_for_ever() {
+fn leaving_notices_expire_and_are_not_echoed() {
     let (mut one, mut other) = (LeavingServers::default(), LeavingServers::default());
     one.record_leaving(at(0), 7, mark(9));
     for second in 0..60 {
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn the_newest_are_told_where_many_leave() {
+fn leaving_notices_are_truncated_to_the_newest() {
     let mut servers = LeavingServers::default();
     for server in 0..100 {
         servers.record_leaving(at(0), server, mark(u64::from(server) + 1));
@@ -79,7 +79,7 @@
 }
 
 #[gtest]
-fn a_server_that_is_back_is_told_to_those_that_do_not_hear_the_store() {
+fn returned_server_is_gossiped_to_entries_without_store() {
     let (mut reads, mut silent) = (LeavingServers::default(), LeavingServers::default());
     silent.record_ready(at(0), 7, mark(5));
     reads.record_ready(at(0), 7, mark(5));
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn a_drain_announcement_holds_for_the_life_of_its_server_whatever_the_store_says() {
+fn drain_announcement_holds_for_lifetime_of_process() {
     let record = |born, draining| ServerRecord {
         id: ServerId("i1".into()),
         born: Some(BirthTime(born)),
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -24,7 +24,7 @@
 const SERVERS: usize = 20_000;
 
 /// Time for all that is done with them.
-const MOST_TIME: Duration = Duration::from_secs(10);
+const MAX_TIME: Duration = Duration::from_secs(10);
 
 fn servers(count: usize) -> Vec<ServerRecord> {
     (0..count).map(|index| server(&format!("s{index:05}"), "z1", 1)).collect()
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn a_list_of_servers_takes_time_by_their_number_and_not_by_pairs() {
+fn server_list_is_processed_in_linear_time() {
     let begun = Instant::now();
     let servers = servers(SERVERS);
     let mut table = table(&servers);
@@ -56,11 +56,11 @@
         copy.take(&changes);
     }
     expect_that!(table.records().count(), eq(SERVERS));
-    expect_that!(begun.elapsed(), lt(MOST_TIME));
+    expect_that!(begun.elapsed(), lt(MAX_TIME));
 }
 
 #[gtest]
-fn servers_are_found_under_their_service_while_they_come_move_and_go() {
+fn service_index_follows_added_moved_and_removed_servers() {
     let mut table = table(&servers(3));
     let moved = ServerRecord { service: "other".into(), ..server("s00001", "z1", 1) };
     table.set(at(1), moved, ChangeMark(2));
@@ -89,7 +89,7 @@
 
 /// Processes of a failure domain that read the store by themselves in the first seconds of a start.
 #[gtest]
-fn those_who_read_for_themselves_after_a_start_do_not_grow_with_the_fleet() {
+fn store_readers_after_start_do_not_grow_with_fleet() {
     let read_within = |processes: usize, seconds: u64| {
         let turns = (0..processes).map(|before| turn_time(Duration::from_millis(1_500), before));
         turns.filter(|turn| *turn <= Duration::from_secs(seconds)).count()
--- a/crates/core/tests/rate_limits.rs
+++ b/crates/core/tests/rate_limits.rs
@@ -21,8 +21,8 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const STEP: Duration = Duration::from_millis(20);
-const GOSSIP_PAUSE: Duration = Duration::from_millis(500);
-const SPAN: Duration = Duration::from_secs(4);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
+const WINDOW: Duration = Duration::from_secs(4);
 
 fn rate(text: &str) -> RequestRate {
     text.parse().expect("a rate")
@@ -104,10 +104,10 @@
         for table in &mut self.tables {
             table.record_limit(self.now, self.life, Some(limit), self.now);
         }
-        self.share();
+        self.assign_shares();
     }
 
-    fn share(&mut self) {
+    fn assign_shares(&mut self) {
         for (number, table) in self.tables.iter_mut().enumerate() {
             let known = self.peers.iter().filter(|peer| !self.unknown[number].contains(&peer.key));
             let known: Vec<EntryPeer> = known.copied().collect();
@@ -120,7 +120,7 @@
         let until = self.now + time;
         while self.now < until {
             self.now = self.now + STEP;
-            if self.now.micros().is_multiple_of(GOSSIP_PAUSE.as_micros() as u64) {
+            if self.now.micros().is_multiple_of(GOSSIP_INTERVAL.as_micros() as u64) {
                 self.gossip();
             }
             for number in 0..self.tables.len() {
@@ -159,9 +159,9 @@
         holders
     }
 
-    fn most_in_span(&self) -> usize {
+    fn max_in_window(&self) -> usize {
         let within = |first: Moment| {
-            self.sent.iter().filter(|at| **at >= first && **at < first + SPAN).count()
+            self.sent.iter().filter(|at| **at >= first && **at < first + WINDOW).count()
         };
         self.sent.iter().map(|first| within(*first)).max().unwrap_or(0)
     }
@@ -169,14 +169,14 @@
 
 /// Requests that all entries together may send in four seconds.
 fn allowed(limit: RequestRate) -> usize {
-    (limit.per_second() * 1.5 * SPAN.as_secs_f64()) as usize + 5
+    (limit.per_second() * 1.5 * WINDOW.as_secs_f64()) as usize + 5
 }
 
 const SIZES: [(usize, usize); 3] = [(7, 3), (100, 3), (546, 6)];
 const LIMITS: [&str; 5] = ["0.3", "1", "1.2", "2", "12"];
 
 #[gtest]
-fn the_limit_holds_over_fleets_of_any_size_and_most_of_it_is_used() {
+fn limit_holds_and_is_used_for_any_number_of_entries() {
     for (entries, domains) in SIZES {
         for limit in LIMITS.map(rate) {
             for seed in 0..3 {
@@ -184,7 +184,7 @@
                 fleet.advertise(limit);
                 fleet.run(Duration::from_secs(60), 10.0, |_| false);
                 let case = format!("{entries} entries, {limit} a second, seed {seed}");
-                expect_that!(fleet.most_in_span(), le(allowed(limit)), "{case}");
+                expect_that!(fleet.max_in_window(), le(allowed(limit)), "{case}");
                 let used = fleet.sent.len() as f64 / 60.0 / limit.per_second();
                 expect_that!(used, ge(0.8), "{case}");
             }
@@ -201,7 +201,7 @@
             fleet.run(Duration::from_secs(600), 0.0, |_| true);
             fleet.run(Duration::from_secs(12), 20.0, |_| false);
             let case = format!("{entries} entries, {limit} a second");
-            expect_that!(fleet.most_in_span(), le(allowed(limit)), "{case}");
+            expect_that!(fleet.max_in_window(), le(allowed(limit)), "{case}");
         }
     }
 }
@@ -222,7 +222,7 @@
                 fleet.advertise(limit);
                 fleet.run(Duration::from_secs(40), 10.0, |_| false);
                 let case = format!("{entries} entries, {limit} a second, seed {seed}");
-                expect_that!(fleet.most_in_span(), le(allowed(limit)), "{case}");
+                expect_that!(fleet.max_in_window(), le(allowed(limit)), "{case}");
             }
         }
     }
@@ -237,11 +237,11 @@
     expect_that!(holders.len(), eq(2));
     fleet.run(Duration::from_secs(120), 10.0, |number| holders.contains(&number));
     expect_that!(fleet.sent.len(), ge(10));
-    expect_that!(fleet.most_in_span(), le(allowed(limit)));
+    expect_that!(fleet.max_in_window(), le(allowed(limit)));
 }
 
 #[gtest]
-fn failure_domains_without_a_server_have_a_share_in_those_of_others() {
+fn failure_domains_without_server_share_remote_limits() {
     let mut fleet = Fleet::new(9, 3, 1, 5);
     fleet.advertise(rate("12"));
     fleet.run(Duration::from_secs(10), 10.0, |number| number.is_multiple_of(3));
@@ -258,7 +258,7 @@
 }
 
 #[gtest]
-fn a_limit_ends_with_a_newer_answer_newer_gossip_or_the_life_of_its_server() {
+fn limit_ends_with_newer_response_gossip_or_process() {
     let (life, limit) = (LifeKey(7), rate("2"));
     let mut limits = RateLimits::default();
     expect_that!(limits.record(at(5), life, None, at(1)), eq(false));
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn each_life_has_a_key_of_its_own() {
+fn each_process_has_its_own_key() {
     let mut table = table();
     let first = choose(&table, at(0)).expect("a server");
     table.set(at(1), record(1000), ChangeMark(2));
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn failures_of_an_earlier_life_do_not_keep_a_server_out() {
+fn failures_of_earlier_process_do_not_exclude_server() {
     let mut table = table();
     let first = choose(&table, at(0)).expect("a server");
     for _ in 0..5 {
@@ -84,7 +84,7 @@
 }
 
 #[gtest]
-fn what_an_agent_told_of_an_earlier_life_is_not_believed() {
+fn agent_notice_of_earlier_process_is_ignored() {
     let mut table = table();
     let notice = ServerNotice {
         address: record(1000).address,
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_backoff_holds_for_the_life_of_its_server_and_ends_with_one_request_at_a_time() {
+fn backoff_holds_for_process_and_ends_with_probe() {
     let mut table = table();
     let server = choose(&table, at(0)).expect("a server");
     table.start_backoff(at(0), &server, Duration::from_secs(3));
