--- a/crates/core/src/direct/draining.rs
+++ b/crates/core/src/direct/draining.rs
@@ -1,57 +1,57 @@
-//! When a server that is to change its weights has been emptied far enough.
+//! Decides when a server has drained far enough to change its weights.
 //!
-//! A request that waits at a server whose machine stops for a while begins when the machine wakes,
-//! on weights that may have become too old by then. Nothing may wait there when an order is given:
-//! entries confirm that they send nothing more, and how many of their requests have not begun.
+//! If the box of a server is suspended for a while, a request queued there starts when the box resumes, on
+//! weights that may be too old by then. The queue must therefore be empty when the change is ordered: entries
+//! confirm that they send no more requests, and report how many of theirs have not started.
 //!
-//! An order cuts what runs. Only the entries know which streams could go on elsewhere: they have
-//! attempts left, and other servers have room. For the others the order waits.
+//! The change aborts running requests. Only the entries know which streams can be resumed on other servers,
+//! because retries are left and other servers have capacity. The change waits for the other streams.
 
 use std::time::Duration;
 
 use super::peers::DrainReport;
 
-/// Time in which requests that run may end before a change cuts them.
+/// Time that running requests get to complete before the change aborts them.
 const COMPLETION_TIME: Duration = Duration::from_millis(800);
 
-/// The same for the first server of all: capacity is whole, and the sooner it has changed, the more
-/// time the others have.
+/// The same for the first server to change: the service still has its full capacity, and an early change
+/// leaves more time for the other servers.
 const FIRST_COMPLETION_TIME: Duration = Duration::from_millis(200);
 
-/// Time after which a change goes on whatever is not known: an entry that has been silent for so
-/// long counts as gone.
+/// Time after which the change proceeds despite missing confirmations: an entry that has been silent for this
+/// long is considered gone.
 const MAX_DRAIN_TIME: Duration = Duration::from_millis(1700);
 
-/// Time after which streams that nobody could go on with are cut all the same: a usual answer has come
-/// to its end by then, and the server serves nothing new meanwhile.
+/// Time after which streams that cannot be resumed elsewhere are aborted as well: a typical response is
+/// complete by then, and the server takes no new requests in the meantime.
 const MAX_UNMOVABLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Requests that are not waited for.
+/// Maximum number of running requests that are aborted without waiting for them to complete.
 const MAX_CUT_REQUESTS: u32 = 1;
 
-/// What is known of a server that is being emptied.
+/// State of a server that is draining for a weight change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainView {
-    /// Time since entries were first told.
+    /// Time since the entries were first notified.
     pub waited: Duration,
-    /// No other server has changed yet or changes now.
+    /// Whether no other server has changed its weights yet or is changing them now.
     pub is_first: bool,
-    /// Requests that wait and that run at the server, if it says so.
+    /// Requests queued and running at the server, if it reports them.
     pub requests: Option<QueueReport>,
-    /// What entries say.
+    /// Combined report of the entries.
     pub entries: DrainReport,
 }
 
-/// Requests at a server.
+/// Number of requests at a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct QueueReport {
-    /// Those that have not begun.
+    /// Requests that have not started.
     pub queued: u32,
-    /// Those that run.
+    /// Running requests.
     pub active: u32,
 }
 
-/// Whether the change may begin.
+/// Returns whether the weight change may start.
 pub fn may_change(view: &DrainView) -> bool {
     let runs = view.requests.is_none_or(|requests| requests.active > 0);
     if runs && view.entries.kept > 0 && view.waited < MAX_UNMOVABLE_TIME {
--- a/crates/core/src/direct/evacuation.rs
+++ b/crates/core/src/direct/evacuation.rs
@@ -1,24 +1,24 @@
-//! Failure domains that are being emptied.
+//! Failure domains that are being evacuated.
 //!
-//! Their servers get nothing new until the order to empty them is gone. Entries that read the store tell
-//! the others the whole set, with the place in the store's history that it is of: whoever has just
-//! started knows as much as the one that told it.
+//! Servers in an evacuated failure domain get no new requests until the evacuation order is withdrawn. Entries
+//! that read the store gossip the complete set together with its store revision, so that a newly started entry
+//! needs only one notice.
 
 use std::collections::BTreeSet;
 
 use super::{fact_age::ChangeMark, peers::DomainKey};
 
-/// The failure domains that are being emptied, as of one place in the store's history.
+/// The set of evacuated failure domains as of one store revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuatedDomains {
-    /// The place; zero if nothing is known.
+    /// Store revision; zero if nothing is known.
     pub mark: ChangeMark,
-    /// The failure domains.
+    /// Evacuated failure domains.
     pub domains: BTreeSet<DomainKey>,
 }
 
 impl EvacuatedDomains {
-    /// Takes over a set that is of a later place; tells whether other failure domains are in it.
+    /// Replaces the set with one of a later revision; returns whether the failure domains changed.
     pub fn merge(&mut self, told: &Self) -> bool {
         if told.mark <= self.mark {
             return false;
@@ -29,8 +29,8 @@
         changed
     }
 
-    /// The set as of a later place, up to which these are the changes: a failure domain, and whether it
-    /// is being emptied.
+    /// Returns the set as of a later revision after `changes`: pairs of a failure domain and whether it is
+    /// being evacuated.
     pub fn with_changes(
         &self,
         mark: ChangeMark,
--- a/crates/core/src/direct/leaving.rs
+++ b/crates/core/src/direct/leaving.rs
@@ -1,59 +1,61 @@
-//! Servers that are leaving, as entries tell each other.
+//! Gossip about servers that are leaving: draining or deregistered.
 //!
-//! A server that leaves must get no new work after two or three seconds, also from an entry whose
-//! watch of servers is silent. So each entry tells for a while which servers it has heard to be
-//! leaving, and as of which revision of the store; a newer record of a server that is ready lifts
-//! that, and is told as well: a server whose record lapsed may be back.
+//! A leaving server must get no new requests after two or three seconds, even from an entry whose watch on
+//! the store is stalled. Each entry therefore gossips for a while which servers are leaving as of which store
+//! revision. A newer record of a ready server overrides this and is gossiped as well, since a server whose
+//! record expired may return.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{fact_age::ChangeMark, suspects::LifeKey};
 use crate::time::Moment;
 
-/// Time for which a leaving server is told: longer than a failure domain that is out of reach for a
-/// moment needs to hear it, and several times as long as a server may still get work.
+/// Time for which a leaving server is gossiped: long enough to reach a failure domain after a short network
+/// partition, and well above the time in which a leaving server may still get requests.
 const GOSSIP_TIME: Duration = Duration::from_secs(5);
 
-/// Time after which nothing is remembered of a server that is gone: longer than a watch lasts.
+/// Time for which the state of a deregistered server is kept: longer than the lifetime of a watch.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Servers that are told in one notice at most; each takes a dozen bytes.
+/// Maximum number of servers in one notice; each takes about 12 bytes.
 pub const MAX_LEAVING_NOTICES: usize = 64;
 
-/// Word that a server is leaving, or that one which was leaving is back.
+/// Notice that a server is leaving, or that a leaving server has returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeavingNotice {
-    /// Key of the server.
+    /// Server key.
     pub server: u32,
-    /// Revision of the store at which it was so.
+    /// Store revision of the change.
     pub revision: ChangeMark,
-    /// It was leaving or gone before, and is ready again.
+    /// Whether the server is ready again after it was leaving or deregistered.
     pub returned: bool,
 }
 
+/// Latest store revisions at which a server was ready and leaving.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServerMarks {
     ready: ChangeMark,
     leaving: Option<ChangeMark>,
+    /// Time at which this entry learned of the latest change between ready and leaving.
     learned_at: Moment,
 }
 
 impl ServerMarks {
-    /// A store that tells no revision for what is gone tells that of its last change, so that equal
-    /// revisions mean that it is gone.
+    /// Returns whether the server is leaving. Equal revisions mean that it was deregistered: a store without
+    /// revisions for deletions reports that of the last change of the object.
     fn is_leaving(&self) -> bool {
         self.leaving.is_some_and(|leaving| leaving >= self.ready)
     }
 }
 
-/// What is known of servers that leave.
+/// State of servers that are or were leaving.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingServers {
     servers: BTreeMap<u32, ServerMarks>,
 }
 
 impl LeavingServers {
-    /// A server was ready as of `revision`; tells whether it was leaving before.
+    /// Records that a server was ready as of `revision`; returns whether it was leaving before.
     pub fn record_ready(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
@@ -65,7 +67,7 @@
         changed
     }
 
-    /// Takes in what another entry has heard; tells whether that is news.
+    /// Merges a notice from another entry; returns whether the state of the server changed.
     pub fn merge(&mut self, now: Moment, notice: LeavingNotice) -> bool {
         match notice.returned {
             true => self.record_ready(now, notice.server, notice.revision),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// A server was leaving or gone as of `revision`; tells whether that is news.
+    /// Records that a server was leaving or deregistered as of `revision`; returns whether its state changed.
     pub fn record_leaving(&mut self, now: Moment, server: u32, revision: ChangeMark) -> bool {
         let marks = self.servers.entry(server).or_default();
         let before = marks.is_leaving();
@@ -85,13 +87,12 @@
         changed
     }
 
-    /// Whether a server is leaving.
+    /// Returns whether a server is leaving.
     pub fn is_leaving(&self, server: u32) -> bool {
         self.servers.get(&server).is_some_and(ServerMarks::is_leaving)
     }
 
-    /// Servers that were heard to be leaving, or back, a short time ago, for others; the newest
-    /// first.
+    /// Returns the servers that have recently left or returned, to gossip, newest first.
     pub fn recent(&self, now: Moment) -> Vec<LeavingNotice> {
         let fresh =
             self.servers.iter().filter(|(_, marks)| now.since(marks.learned_at) <= GOSSIP_TIME);
@@ -106,15 +107,15 @@
         leaving
     }
 
-    /// Forgets servers that have been leaving for long.
+    /// Removes servers that have been leaving for longer than the retention time.
     pub fn forget_old(&mut self, now: Moment) {
         self.servers
             .retain(|_, marks| !marks.is_leaving() || now.since(marks.learned_at) <= RETENTION);
     }
 }
 
-/// Servers that have announced in their answers that they drain. This holds for the rest of a server's life,
-/// whatever its record says: the store may not have been told.
+/// Server processes that have announced draining in a response. The announcement holds for the lifetime of the
+/// process regardless of its record, since the store may not have been updated.
 #[derive(Debug, Clone, Default)]
 pub struct DrainingLives {
     lives: BTreeMap<LifeKey, DrainingLife>,
@@ -122,31 +123,31 @@
 
 #[derive(Debug, Clone, Copy)]
 struct DrainingLife {
-    /// When this entry learnt of it.
+    /// Time at which this entry learned of the announcement.
     learned_at: Moment,
-    /// When it was last known to be listed.
+    /// Time at which the server process was last known to be listed.
     listed: Moment,
 }
 
 impl DrainingLives {
-    /// Adds a server; returns whether it is new.
+    /// Adds a server process; returns whether it is new.
     pub fn note(&mut self, now: Moment, life: LifeKey) -> bool {
         let is_new = !self.lives.contains_key(&life);
         self.lives.entry(life).or_insert(DrainingLife { learned_at: now, listed: now });
         is_new
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no draining server processes.
     pub fn is_empty(&self) -> bool {
         self.lives.is_empty()
     }
 
-    /// Whether a server drains.
+    /// Returns whether a server process has announced draining.
     pub fn contains(&self, life: LifeKey) -> bool {
         self.lives.contains_key(&life)
     }
 
-    /// Servers to gossip, the newest first.
+    /// Returns the server processes to gossip, newest first.
     pub fn recent(&self, now: Moment) -> Vec<LifeKey> {
         let fresh = self.lives.iter().filter(|(_, life)| now.since(life.learned_at) <= GOSSIP_TIME);
         let mut fresh: Vec<(Moment, LifeKey)> =
@@ -155,7 +156,7 @@
         fresh.into_iter().take(MAX_LEAVING_NOTICES).map(|(_, key)| key).collect()
     }
 
-    /// Forgets servers that have not been listed for some time.
+    /// Removes server processes that have not been listed for longer than the retention time.
     pub fn forget_old(&mut self, now: Moment, is_listed: impl Fn(LifeKey) -> bool) {
         self.lives.retain(|key, life| {
             if is_listed(*key) {
--- a/crates/core/src/direct/rate_limits.rs
+++ b/crates/core/src/direct/rate_limits.rs
@@ -1,8 +1,9 @@
-//! Rate limits that servers advertise in their answers, for all entries together.
+//! Distributed enforcement of rate limits that servers advertise in their responses.
 //!
-//! A few entries, the holders, divide the limit of a server evenly between token buckets; the others send it
-//! nothing. Holders are chosen by rendezvous hashing. Their number is in proportion to the limit, so that the
-//! combined burst and the effect of stale membership do not grow with the fleet.
+//! A limit applies to all entries together. A few entries, the holders, split the limit of a server evenly
+//! between token buckets; the others send it nothing. Holders are selected by rendezvous hashing. Their number
+//! is proportional to the limit, so that the combined burst and the effect of stale membership do not grow
+//! with the number of entries.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -11,29 +12,29 @@
 use super::{peers::DomainKey, suspects::LifeKey};
 use crate::{hash::score, time::Moment};
 
-/// Holders for each request a second of a limit.
+/// Number of holders per request per second of a limit.
 const HOLDERS_PER_REQUEST: f64 = 1.0;
 
-/// Capacity of a token bucket, as the time that fills it; at least one token.
+/// Time in which an empty token bucket fills up; its capacity is at least one token.
 const BURST_TIME: Duration = Duration::from_millis(500);
 
-/// Least rate that is used, so that the end of a limit of zero is noticed.
+/// Minimum request rate, so that the end of a limit of zero is detected.
 const PROBE_RATE: RequestRate = RequestRate::from_milli(100);
 
-/// Limit in place of a malformed one where no earlier one is known.
+/// Limit that replaces a malformed one if no earlier limit is known.
 pub const FALLBACK_LIMIT: RequestRate = RequestRate::from_milli(1000);
 
-/// Time without an answer of the server after which the next standby may send one request: holders may
-/// have no callers, or be cut off from the server.
+/// Time without a response from the server after which the next standby may send one request: the holders may
+/// have no callers or no connection to the server.
 const STANDBY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Age up to which a limit is gossiped.
+/// Maximum age of a gossiped limit.
 const GOSSIP_TIME: Duration = Duration::from_secs(5);
 
-/// Time for which limits of unlisted servers are kept.
+/// Time for which lifted limits and limits of unlisted servers are kept.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Most limits in one notice.
+/// Maximum number of limits in one notice.
 pub const MAX_LIMIT_NOTICES: usize = 64;
 
 /// Key of an entry for rendezvous hashing.
@@ -56,34 +57,34 @@
 /// An entry that may hold limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryPeer {
-    /// Its key.
+    /// Key for rendezvous hashing.
     pub key: EntryKey,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub domain: DomainKey,
 }
 
-/// A server's rate limit, as entries gossip it.
+/// A server's rate limit as gossiped between entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitNotice {
-    /// The life of the server.
+    /// Key of the server process.
     pub life: LifeKey,
-    /// The limit; none if it was lifted.
+    /// The limit; `None` if it was lifted.
     pub limit: Option<RequestRate>,
     /// Time since the server advertised it.
     pub age: Duration,
 }
 
-/// An entry's share in one limit.
+/// An entry's share of one limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitShare {
-    /// Candidates that rank before this entry.
+    /// Number of candidates that rank before this entry.
     pub rank: u32,
-    /// Entries that hold the limit.
+    /// Number of entries that hold the limit.
     pub holders: u32,
 }
 
 impl LimitShare {
-    /// The share of the entry `own` in the limit of a server; none if it is no candidate.
+    /// Returns the share of the entry `own` in the limit of a server; `None` if it is not a candidate.
     pub fn new(
         life: LifeKey,
         limit: RequestRate,
@@ -102,21 +103,22 @@
         self.rank < self.holders
     }
 
-    /// Time without an answer of the server after which this entry may send one request.
+    /// Returns the time without a response from the server after which this entry may send one request; `None`
+    /// if this entry is not a standby.
     fn standby_timeout(self) -> Option<Duration> {
         let turn = self.rank - self.holders.min(self.rank) + 1;
         (self.rank < self.holders * 2).then(|| STANDBY_TIMEOUT * turn)
     }
 }
 
-/// The limit of one server.
+/// Rate limit state of one server process.
 #[derive(Debug, Clone)]
 struct RateLimit {
     limit: Option<RequestRate>,
-    /// When the server advertised it, to any entry.
+    /// Time at which the server last advertised the limit or its absence to any entry.
     advertised_at: Moment,
     share: Option<LimitShare>,
-    /// Tokens as of `counted`.
+    /// Number of tokens at time `counted`.
     tokens: f64,
     counted: Moment,
     sent: Moment,
@@ -127,19 +129,21 @@
         Self { limit, advertised_at, share: None, tokens: 0.0, counted: now, sent: Moment::ZERO }
     }
 
-    /// Requests a second that this entry may send.
+    /// Returns the number of requests per second that this entry may send.
     fn rate(&self) -> f64 {
         let holder = self.share.filter(|share| share.is_holder());
         let limit = self.limit.unwrap_or_default().max(PROBE_RATE);
         holder.map_or(0.0, |share| limit.per_second() / f64::from(share.holders))
     }
 
+    /// Returns the number of available tokens.
     fn tokens(&self, now: Moment) -> f64 {
         let rate = self.rate();
         let most = (rate * BURST_TIME.as_secs_f64()).max(1.0);
         (self.tokens + rate * now.since(self.counted).as_secs_f64()).min(most)
     }
 
+    /// Updates the token count to `now`, before a change of the rate or the tokens.
     fn settle(&mut self, now: Moment) {
         self.tokens = self.tokens(now);
         self.counted = now;
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Time until this entry may send a request; none if it has no share.
+    /// Returns the time until this entry may send a request; `None` if it has no share.
     fn wait(&self, now: Moment) -> Option<Duration> {
         if self.limit.is_none() {
             return Some(Duration::ZERO);
@@ -173,24 +177,24 @@
     }
 }
 
-/// The rate limits of all servers.
+/// Rate limits of all servers.
 #[derive(Debug, Clone, Default)]
 pub struct RateLimits {
     lives: HashMap<LifeKey, RateLimit>,
 }
 
 impl RateLimits {
-    /// Whether no limit is known.
+    /// Returns whether no limit is known.
     pub fn is_empty(&self) -> bool {
         self.lives.is_empty()
     }
 
-    /// The limit of a server.
+    /// Returns the limit of a server.
     pub fn limit(&self, life: LifeKey) -> Option<RequestRate> {
         self.lives.get(&life)?.limit
     }
 
-    /// Number of servers with a limit.
+    /// Returns the number of servers with a limit.
     pub fn count(&self) -> usize {
         self.lives.values().filter(|known| known.limit.is_some()).count()
     }
@@ -206,7 +210,7 @@
     ) -> bool {
         match (self.lives.get(&life), limit) {
             (None, None) => return false,
-            // The answer may have begun before the limit was advertised.
+            // The response may have started before the limit was advertised.
             (Some(known), None) if known.limit.is_some() && known.advertised_at >= sent => {
                 return false;
             }
@@ -215,11 +219,12 @@
         self.update(now, life, limit, now)
     }
 
-    /// Merges the limit that another entry has heard of; returns whether it changed.
+    /// Merges a limit learned from another entry; returns whether it changed.
     pub fn merge(&mut self, now: Moment, notice: LimitNotice) -> bool {
         self.update(now, notice.life, notice.limit, now - notice.age)
     }
 
+    /// Stores the limit if it is more recent than the known one; returns whether it changed.
     fn update(
         &mut self,
         now: Moment,
@@ -241,25 +246,25 @@
         }
     }
 
-    /// Sets this entry's share in a server's limit.
+    /// Sets this entry's share of a server's limit.
     pub fn set_share(&mut self, now: Moment, life: LifeKey, share: Option<LimitShare>) {
         if let Some(known) = self.lives.get_mut(&life) {
             known.set_share(now, share);
         }
     }
 
-    /// Time until a server may be sent a request by this entry; none if this entry has no share.
+    /// Returns the time until this entry may send a request to a server; `None` if it has no share.
     pub fn wait(&self, now: Moment, life: LifeKey) -> Option<Duration> {
         self.lives.get(&life).map_or(Some(Duration::ZERO), |known| known.wait(now))
     }
 
-    /// Time between two requests that all entries together may send a server; zero without a limit.
+    /// Returns the interval between requests to a server over all entries; zero without a limit.
     pub fn pause(&self, life: LifeKey) -> Duration {
         let limit = self.limit(life).map(|limit| limit.max(PROBE_RATE));
         limit.map_or(Duration::ZERO, |limit| Duration::from_secs_f64(1.0 / limit.per_second()))
     }
 
-    /// Takes a token for one request, if there is one.
+    /// Takes a token for one request if available; returns whether the request may be sent.
     pub fn try_acquire(&mut self, now: Moment, life: LifeKey) -> bool {
         let Some(known) = self.lives.get_mut(&life) else { return true };
         if known.wait(now) != Some(Duration::ZERO) {
@@ -271,10 +276,10 @@
         true
     }
 
-    /// Limits to gossip, the newest first.
+    /// Returns the limits to gossip, newest first.
     pub fn recent(&self, now: Moment) -> Vec<LimitNotice> {
         let recent = self.lives.iter().filter(|(_, known)| {
-            // The age of what is older than this process is unknown.
+            // The age of a limit advertised before this process started is unknown.
             known.advertised_at > Moment::ZERO && now.since(known.advertised_at) <= GOSSIP_TIME
         });
         let notice = |(life, known): (&LifeKey, &RateLimit)| LimitNotice {
@@ -288,12 +293,12 @@
         notices
     }
 
-    /// Forgets the limit of a server that has ended.
+    /// Removes the limit of a server process that has ended.
     pub fn forget(&mut self, life: LifeKey) {
         self.lives.remove(&life);
     }
 
-    /// Forgets limits that were lifted or whose servers are not listed, after some time.
+    /// Removes limits that were lifted or whose servers are not listed, after the retention time.
     pub fn forget_old(&mut self, now: Moment, is_listed: impl Fn(LifeKey) -> bool) {
         self.lives.retain(|life, known| {
             let is_kept = known.limit.is_some() && is_listed(*life);
--- a/crates/core/src/direct/server_table.rs
+++ b/crates/core/src/direct/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers that an entry knows, and the choice among them.
+//! Per-server state of an entry and server selection.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -34,129 +34,129 @@
 pub use signals::Ineligible;
 pub use weight_changes::ContinuationLimits;
 
-/// The same for streams that are continued.
+/// Requests queued at an engine beyond its slots where they continue an interrupted stream.
 const CONTINUATION_QUEUE: u32 = 6;
 
-/// Part of its slots from which on the end of a request is told at once, in percent: while a server
-/// is idle, nobody needs to know, and each telling is a datagram to every entry of the domain.
+/// Slot utilization, in percent, from which a load change is sent to other entries immediately. Below it
+/// the change can wait: each immediate update is a datagram to every entry of the failure domain.
 const URGENT_LOAD_PERCENT: u32 = 75;
 
-/// Weight of the newest outcome in the share of failures.
+/// Weight of the latest outcome in the exponential moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
 
-/// First pause after a server could not be reached or broke off.
+/// Initial backoff after a server was unreachable or dropped a connection.
 const FAILURE_COOLDOWN: Duration = Duration::from_millis(300);
 
-/// First pause after a server refused although it was thought to have room.
+/// Initial backoff after a server refused a request despite apparent capacity.
 const REFUSAL_COOLDOWN: Duration = Duration::from_millis(80);
 
-/// Most doublings of a pause.
+/// Maximum number of times a backoff is doubled.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// What came of a request at a server.
+/// Outcome of a request at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It answered.
+    /// The server answered successfully.
     Answered,
-    /// It answered that it failed.
+    /// The server answered with an error.
     Failed,
-    /// It refused: it has no room.
+    /// The server refused the request for lack of capacity.
     Refused,
-    /// Another server has the address, or it holds other weights.
+    /// The address belongs to another server, or the server holds other weights.
     Misdirected,
-    /// It could not be reached, broke off, or fell silent.
+    /// The server was unreachable, dropped the connection, or timed out.
     Lost,
-    /// The request was given up for reasons of the caller's.
+    /// The request was canceled on behalf of the caller.
     Abandoned,
 }
 
-/// A server with what this entry knows of it.
+/// State that this entry keeps for one server.
 #[derive(Debug, Clone)]
 struct ServerState {
     record: ServerRecord,
     key: u32,
-    /// Its life, by its id and birth.
+    /// Identifies the server process, derived from the server ID and start time.
     life: LifeKey,
     domain: DomainKey,
-    /// Its region, if that is known.
+    /// Region, if known.
     region: Option<RegionId>,
     own: EngineLoad,
-    /// It is cold, as it said when it came back.
+    /// Remaining cold period, as announced by the server on its return.
     cold: Option<ColdPeriod>,
-    /// Requests of this entry that have not begun there.
+    /// Requests of this entry that the server has not started yet.
     waiting: u32,
-    /// Streams of this entry that may not be sent to another server any more.
+    /// Streams of this entry that can no longer be resumed on another server.
     pinned_streams: u32,
-    /// The load has changed since it was last told, and others are to hear that at once.
+    /// The load has changed since the last update in a way that other entries must see immediately.
     has_urgent_change: bool,
-    /// The load has changed since it was last told.
+    /// The load has changed since the last update to other entries.
     changed: bool,
     failures: u32,
     refusals: u32,
     failure_share: f64,
     blocked_until: Moment,
-    /// End of the backoff that it has asked this entry for; none once it has answered after that.
+    /// End of the backoff requested by the server; `None` once it has answered after that time.
     backoff_until: Option<Moment>,
-    /// What its agent told, and when.
+    /// Latest notice from its agent.
     notice: Option<ServerNotice>,
 }
 
-/// The servers.
+/// All known servers with their load, health and rate limits.
 #[derive(Debug, Default)]
 pub struct ServerTable {
     servers: BTreeMap<ServerId, ServerState>,
     services: HashMap<Arc<str>, Vec<ServerId>>,
     others: HashMap<u32, EngineLoad>,
-    /// Failure domains that are out of reach.
+    /// Failure domains that are currently unreachable.
     unreachable: BTreeSet<DomainKey>,
-    /// Failure domains that are being emptied.
+    /// Failure domains that are being evacuated.
     evacuated: BTreeSet<DomainKey>,
-    /// Servers that leave.
+    /// Servers that are draining or deregistered, per the store.
     leaving: LeavingServers,
-    /// Servers that have announced it in their answers.
+    /// Server processes that have announced draining in a response.
     draining_lives: DrainingLives,
     /// Rate limits that servers have advertised.
     limits: RateLimits,
-    /// Entries that live.
+    /// Number of live entries.
     entries: usize,
     cold_rates: ColdRates,
     zone: Option<DomainId>,
-    /// The own region, if that is known.
+    /// Region of this entry, if known.
     region: Option<RegionId>,
     regions: HashMap<DomainId, RegionId>,
 }
 
-/// The key of a server in notices.
+/// Returns the key that identifies a server in notices.
 pub fn server_key(id: &ServerId) -> u32 {
     id.0.bytes().fold(0x811c_9dc5, hash_byte)
 }
 
-/// One step of FNV-1a.
+/// Performs one step of the FNV-1a hash.
 fn hash_byte(state: u32, byte: u8) -> u32 {
     (state ^ u32::from(byte)).wrapping_mul(0x0100_0193)
 }
 
-/// The key of a server's life.
+/// Returns the key of a server process, a hash of the server ID and start time.
 fn life_key(record: &ServerRecord) -> LifeKey {
     let born = record.born.map(|born| born.0.to_le_bytes()).unwrap_or_default();
     LifeKey(born.into_iter().fold(server_key(&record.id), hash_byte))
 }
 
 impl ServerTable {
-    /// No servers yet, seen from `zone`.
+    /// Creates an empty table for an entry in `zone`.
     pub fn new(zone: DomainId, regions: HashMap<DomainId, RegionId>) -> Self {
         let region = regions.get(&zone).cloned();
         Self { zone: Some(zone), region, regions, ..Self::default() }
     }
 
-    /// Takes in a server's record.
+    /// Inserts or updates a server's record.
     ///
-    /// `revision` is the store's at which it was so.
+    /// `revision` is the store revision of the record.
     pub fn set(&mut self, now: Moment, record: ServerRecord, revision: ChangeMark) {
         let key = server_key(&record.id);
         match record.draining {
             true => {
-                // Whether others knew it before makes no difference here.
+                // The local table is updated whether or not the state change is new.
                 let _ = self.leaving.record_leaving(now, key, revision);
             }
             false => {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Takes out a server that is gone as of `revision`.
+    /// Removes a server that was deregistered as of `revision`; returns whether it was in the table.
     pub fn remove(&mut self, now: Moment, id: &ServerId, revision: ChangeMark) -> bool {
         let _ = self.leaving.record_leaving(now, server_key(id), revision);
         self.leaving.forget_old(now);
@@ -221,7 +221,7 @@
         removed.is_some()
     }
 
-    /// Takes out every server but those in `listed`, the list as of `revision`.
+    /// Removes all servers except those in `listed`, the complete list as of `revision`.
     pub fn retain_listed(&mut self, now: Moment, listed: &[ServerId], revision: ChangeMark) {
         let listed: HashSet<&ServerId> = listed.iter().collect();
         for id in self.servers.keys().filter(|id| !listed.contains(id)) {
@@ -234,7 +234,7 @@
         self.services.retain(|_, ids| !ids.is_empty());
     }
 
-    /// Lists a server under its service, in the order of ids.
+    /// Adds a server to the index of its service, ordered by ID.
     fn list(&mut self, service: Arc<str>, id: ServerId) {
         let ids = self.services.entry(service).or_default();
         if let Err(place) = ids.binary_search(&id) {
@@ -242,6 +242,7 @@
         }
     }
 
+    /// Removes a server from the index of a service.
     fn unlist(&mut self, service: &str, id: &ServerId) {
         let Some(ids) = self.services.get_mut(service) else { return };
         ids.retain(|listed| listed != id);
@@ -250,59 +251,60 @@
         }
     }
 
-    /// Another entry has heard that a server is leaving, or is back; tells whether that is news.
+    /// Merges a notice from another entry that a server is leaving or has returned; returns whether it changed
+    /// the local state.
     pub fn merge_leaving(&mut self, now: Moment, notice: LeavingNotice) -> bool {
         self.leaving.merge(now, notice)
     }
 
-    /// Servers that are leaving, for other entries.
+    /// Returns recent changes of leaving servers to gossip.
     pub fn recent_leaving(&self, now: Moment) -> Vec<LeavingNotice> {
         self.leaving.recent(now)
     }
 
-    /// The records.
+    /// Iterates over the records of all servers.
     pub fn records(&self) -> impl Iterator<Item = &ServerRecord> {
         self.servers.values().map(|state| &state.record)
     }
 
-    /// Takes in what other entries have in progress.
+    /// Replaces the load that other entries have at each server, by server key.
     pub fn set_other_loads(&mut self, others: HashMap<u32, EngineLoad>) {
         self.others = others;
     }
 
-    /// Takes in how many entries live.
+    /// Sets the number of live entries.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries;
     }
 
-    /// Takes in which failure domains are out of reach; tells whether that is news.
+    /// Sets the unreachable failure domains; returns whether the set changed.
     pub fn set_unreachable_domains(&mut self, unreachable: BTreeSet<DomainKey>) -> bool {
         let changed = self.unreachable != unreachable;
         self.unreachable = unreachable;
         changed
     }
 
-    /// Takes in how much cold servers are sent at most.
+    /// Sets the request rate limits for cold servers.
     pub fn set_cold_rates(&mut self, rates: ColdRates) {
         self.cold_rates = rates;
     }
 
-    /// Takes in which failure domains are being emptied.
+    /// Sets the failure domains that are being evacuated.
     pub fn set_evacuated_domains(&mut self, evacuated: BTreeSet<DomainKey>) {
         self.evacuated = evacuated;
     }
 
-    /// Takes in what other entries have in progress at one server.
+    /// Sets the load that other entries have at one server.
     pub fn set_other_load(&mut self, server: u32, load: EngineLoad) {
         self.others.insert(server, load);
     }
 
-    /// Whether a load has changed since [`Self::take_load_changes`] that others are to hear at once.
+    /// Returns whether a load change since [`Self::take_load_changes`] must be sent immediately.
     pub fn has_urgent_load_changes(&self) -> bool {
         self.servers.values().any(|state| state.has_urgent_change)
     }
 
-    /// What this entry has in progress at servers where that has changed.
+    /// Returns the changed loads of this entry and resets the change flags.
     pub fn take_load_changes(&mut self) -> Vec<LoadNotice> {
         let changed = self.servers.values_mut().filter(|state| state.changed);
         changed
@@ -314,52 +316,52 @@
             .collect()
     }
 
-    /// Takes in what a server's agent tells; none if the agent is gone.
+    /// Sets the agent's notice for the servers at an address; `None` if the agent is gone.
     pub fn set_notice(&mut self, address: SocketAddr, notice: Option<ServerNotice>) {
         for state in self.servers.values_mut().filter(|state| state.record.address == address) {
             state.notice = notice.clone();
         }
     }
 
-    /// Takes in what the agents that live tell of their servers, by address.
+    /// Replaces all agent notices with those of the live agents, by server address.
     pub fn set_notices(&mut self, notices: &HashMap<SocketAddr, ServerNotice>) {
         for state in self.servers.values_mut() {
-            // A server that was started again may be listed twice at its address for a while.
+            // A restarted server may be listed under both its old and new ID at one address for a while.
             state.notice = notices.get(&state.record.address).cloned();
         }
     }
 
-    /// What this entry has in progress, for others.
+    /// Returns the load of this entry at every server where it has requests in flight.
     pub fn own_loads(&self) -> Vec<LoadNotice> {
         let busy = self.servers.values().filter(|state| state.own.in_flight > 0);
         busy.map(|state| LoadNotice { server: state.key, load: state.own }).collect()
     }
 
-    /// Whether the end of a server is one that was planned: it is leaving, or has left the list.
+    /// Returns whether a server is draining or no longer listed, so that its shutdown is planned.
     pub fn is_planned_shutdown(&self, id: &ServerId) -> bool {
         self.servers.get(id).is_none_or(|state| self.is_leaving(state))
     }
 
-    /// Whether a server takes nothing new because it will end.
+    /// Returns whether a server takes no new requests because it is going to shut down.
     fn is_leaving(&self, state: &ServerState) -> bool {
         state.record.draining
             || self.leaving.is_leaving(state.key)
             || self.draining_lives.contains(state.life)
     }
 
-    /// Whether a server takes nothing new, by its own word or because its failure domain is being emptied.
+    /// Returns whether a server is excluded because it is leaving or its failure domain is being evacuated.
     fn is_excluded(&self, state: &ServerState) -> bool {
         self.is_leaving(state) || self.evacuated.contains(&state.domain)
     }
 
-    /// Whether a server is cold and has had this entry's part of what it may be sent.
+    /// Returns whether a server is cold and this entry has used up its share of the cold rate.
     fn is_throttled(&self, now: Moment, state: &ServerState) -> bool {
         let rate = self.cold_rates.services.get(&state.record.service);
         let Some((cold, rate)) = state.cold.zip(rate.copied()) else { return false };
         !cold.may_send(now, rate, self.entries, self.cold_rates.phase)
     }
 
-    /// Notes that a request with a prompt of `tokens` has been sent to a server.
+    /// Records that a request with a prompt of `tokens` was sent to a server.
     pub fn begin(&mut self, id: &ServerId, tokens: u64) {
         if let Some(state) = self.servers.get_mut(id) {
             state.own.in_flight += 1;
@@ -368,33 +370,33 @@
             if let Some(cold) = &mut state.cold {
                 cold.record_sent();
             }
-            // Whoever sees an engine idle sends to it: what it has to read must be known at once.
+            // Entries that see an idle engine send requests to it, so prompts are announced immediately.
             state.has_urgent_change |= tokens > 0;
             state.changed = true;
             mark_urgent_change(state, &self.others);
         }
     }
 
-    /// Notes that a server has read a prompt of `tokens` and begun to answer, or never will.
+    /// Records that a server has finished the prefill of `tokens` and started to answer, or never will.
     pub fn finish_prefill(&mut self, id: &ServerId, tokens: u64) {
         if let Some(state) = self.servers.get_mut(id) {
             state.own.waiting_tokens = state.own.waiting_tokens.saturating_sub(tokens);
-            // The next tick tells it: until then others only take the engine for a little busier.
+            // Not urgent: until the next tick other entries only overestimate the load slightly.
             state.waiting = state.waiting.saturating_sub(1);
             state.changed = true;
         }
     }
 
-    /// Notes what came of a request at `server` as it was when it was chosen.
+    /// Records the outcome of a request at the server process that was chosen for it.
     pub fn end_chosen(&mut self, now: Moment, server: &ChosenServer, outcome: ServerOutcome) {
         let state = self.servers.get(&server.id);
         let same_life = state.is_some_and(|state| state.life == server.life);
-        // What an earlier life did with it says nothing of this one.
+        // The outcome at an earlier process says nothing about the current one.
         let outcome = if same_life { outcome } else { ServerOutcome::Abandoned };
         self.end(now, &server.id, outcome);
     }
 
-    /// Notes what came of it.
+    /// Records the outcome of a request at a server.
     pub fn end(&mut self, now: Moment, id: &ServerId, outcome: ServerOutcome) {
         let Some(state) = self.servers.get_mut(id) else { return };
         mark_urgent_change(state, &self.others);
@@ -426,8 +428,8 @@
 }
 
 impl ServerState {
-    /// Forgets what is known of the server's life so far, which has ended. What this entry has in
-    /// progress there ends by itself.
+    /// Resets the state of a server process that has ended. Requests of this entry that are still in flight
+    /// are counted down as they end.
     fn forget_life(&mut self) {
         self.failures = 0;
         self.refusals = 0;
@@ -439,17 +441,17 @@
     }
 }
 
-/// Whether a server takes other weights or is being emptied for that.
+/// Returns whether a server is loading other weights or draining for that.
 fn is_changing(state: &ServerState) -> bool {
     state.notice.as_ref().is_some_and(|notice| notice.changing)
 }
 
-/// Whether a server will soon take other weights, which cuts or delays what it runs.
+/// Returns whether a server has staged newer weights; the upcoming change cuts or delays running requests.
 fn is_about_to_change(state: &ServerState) -> bool {
     state.notice.as_ref().is_some_and(|notice| notice.staged > notice.whole)
 }
 
-/// Notes that what this entry has in progress at a server changes, if others need to know at once.
+/// Marks a load change as urgent if the server is busy enough for other entries to need it immediately.
 fn mark_urgent_change(state: &mut ServerState, others: &HashMap<u32, EngineLoad>) {
     let others = others.get(&state.key).copied().unwrap_or_default();
     let in_flight = state.own.in_flight + others.in_flight;
@@ -457,11 +459,13 @@
     state.has_urgent_change |= busy;
 }
 
+/// Updates the moving average of failures; `failed` is 1 for a failure and 0 for a success.
 fn update_failure_share(state: &mut ServerState, failed: f64) {
     state.failure_share += (failed - state.failure_share) * FAILURE_WEIGHT;
 }
 
-/// The version that a server is thought to hold whole: its agent knows before the list does.
+/// Returns the version that a server has loaded completely. The notice of its agent takes precedence, as it
+/// is more recent than the record in the store.
 fn loaded_version(state: &ServerState, layers: u32) -> Option<WeightVersion> {
     match &state.notice {
         Some(notice) => notice.whole,
@@ -469,13 +473,13 @@
     }
 }
 
-/// Whether a server holds all of its model in a version that is new enough.
+/// Returns whether a server has loaded all layers of its model in at least version `min_version`.
 fn has_weights(state: &ServerState, layers: u32, min_version: Option<WeightVersion>) -> bool {
     let version = loaded_version(state, layers);
     version.is_some_and(|version| min_version.is_none_or(|min_version| version >= min_version))
 }
 
-/// Requests that an engine is sent at most where they continue a stream.
+/// Returns the maximum number of requests in flight at an engine for requests that continue a stream.
 fn continuation_limit(state: &ServerState) -> u32 {
     state.record.slots.max(1) + CONTINUATION_QUEUE
 }
--- a/crates/core/src/direct/server_table/choice.rs
+++ b/crates/core/src/direct/server_table/choice.rs
@@ -1,4 +1,4 @@
-//! The choice among the servers of a service.
+//! Selection among the servers of a service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,113 +21,114 @@
     time::Moment,
 };
 
-/// Requests that an engine is sent beyond those that it runs at the same time.
+/// Requests queued at an engine beyond its slots.
 const ENGINE_QUEUE: u32 = 2;
 
-/// Part of the slots of an engine in another failure domain that is left to the entries there, in
-/// percent: what they have in progress is known late, and many may choose the same engine.
+/// Share of the slots of an engine in another failure domain that is reserved for the entries there, in
+/// percent: their load is known with a delay, and many remote entries may choose the same engine.
 const REMOTE_RESERVE_PERCENT: u32 = 20;
 
-/// Requests of other failure domains that may choose the same engine between two notices of its load:
-/// about as many prompts as an engine reads within an objective when they come together.
+/// Expected number of requests from other failure domains to one engine between two notices of its load:
+/// about as many prompts as an engine can prefill within the latency objective if they arrive together.
 const REMOTE_ARRIVALS: f64 = 6.0;
 
-/// Spread of the costs of engines in other failure domains, so that entries do not all choose the
-/// same one between two notices.
+/// Random cost added to servers in other failure domains, so that entries do not all choose the same one
+/// between two load notices.
 const REMOTE_COST_JITTER: f64 = 0.15;
 
-/// Spread of the costs of near servers, which tells equals apart.
+/// Random cost added to servers in the own failure domain to break ties.
 const LOCAL_COST_JITTER: f64 = 0.01;
 
-/// Part of a request's objective that its predicted first token may take, in percent. Whom to refuse is
-/// decided by lot; a bound below the objective would refuse long prompts alone, whose own reading may cost
-/// them their objective, not their answer.
+/// Maximum predicted time to first token, in percent of the request's latency objective. Load shedding
+/// selects the requests to refuse at random; a bound below the objective would refuse only long prompts,
+/// whose own prefill may miss the objective but still yields an answer.
 const MAX_PREDICTED_PERCENT: u32 = 150;
 
-/// Requests that a plain server is sent, relative to those that it runs at the same time.
+/// Maximum requests in flight at a server without an engine, as a multiple of its slots.
 const PLAIN_LOAD: u32 = 2;
 
-/// Cost of a server in another zone of the region, as a share of a server's capacity.
+/// Cost of a server in another failure domain of the region, as a share of a server's capacity.
 const ZONE_COST: f64 = 0.15;
 
 /// Cost of a server in another region.
 const REGION_COST: f64 = 0.3;
 
-/// Cost of a server all of whose requests fail.
+/// Weight of a server's failure share in excess of [`TOLERATED_FAILURE_SHARE`].
 const FAILURE_COST: f64 = 2.0;
 
 /// Cost of a server that is about to change its weights.
 const CHANGE_COST: f64 = 0.4;
 
-/// Share of failures that is not held against a server: some requests fail anywhere.
+/// Failure share that adds no cost: some requests fail at any server.
 const TOLERATED_FAILURE_SHARE: f64 = 0.3;
 
-/// What is asked for.
+/// Parameters of a server selection.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerQuery<'a> {
-    /// The service.
+    /// Requested service.
     pub service: &'a str,
-    /// What is asked of an engine; none for plain services.
+    /// Work for an inference engine; `None` for plain services.
     pub engine: Option<EngineQuery<'a>>,
-    /// Regions whose servers may run it.
+    /// Regions in which the request may run.
     pub regions: &'a AllowedRegions,
-    /// The least version of weights that may answer.
+    /// Minimum weight version of the server.
     pub min_version: Option<WeightVersion>,
-    /// Servers that have been tried.
+    /// Servers that have already been tried.
     pub tried: &'a [ServerId],
-    /// A random number, by which equals are told apart.
+    /// Random number for cost jitter and for the use of other failure domains.
     pub random: u64,
 }
 
-/// What a request asks of an engine.
+/// Work of a request for an inference engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineQuery<'a> {
-    /// The engine's figures.
+    /// Performance figures of the engine.
     pub figures: &'a EngineFigures,
-    /// The work.
+    /// Prompt size and latency objective.
     pub work: EngineWork,
-    /// It continues a stream that a caller is reading: late is better than never.
+    /// Whether the request continues a stream that a caller is reading, so that a late answer beats none.
     pub continues: bool,
 }
 
-/// A server that was chosen, with what decided.
+/// A selected server with the data behind the decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChosenServer {
-    /// The server.
+    /// Server ID.
     pub id: ServerId,
-    /// This life of it.
+    /// Key of the server process.
     pub life: LifeKey,
-    /// Where it answers.
+    /// Network address.
     pub address: SocketAddr,
-    /// What this entry has in progress there.
+    /// Load of this entry at the server.
     pub own: EngineLoad,
-    /// What others have in progress there, as far as they told.
+    /// Load of other entries at the server, as far as known.
     pub others: EngineLoad,
-    /// Time until the first token comes, as predicted; none for plain services.
+    /// Predicted time to first token; `None` for plain services.
     pub predicted: Option<Duration>,
-    /// Load of the engine with the shortest wait, which need not be this one; none for plain services.
+    /// Load of the engine with the shortest predicted wait, not necessarily this one; `None` for plain
+    /// services.
     pub shortest_wait_load: Option<EngineLoad>,
-    /// Requests that it is sent at most.
+    /// Maximum number of requests in flight, over all entries.
     pub limit: u32,
-    /// Version that it is thought to hold.
+    /// Weight version that the server is believed to have loaded.
     pub version: Option<WeightVersion>,
-    /// Its rate limit for all entries together.
+    /// Rate limit of the server, over all entries.
     pub rate_limit: Option<RequestRate>,
 }
 
-/// The outcome of a choice.
+/// Result of a server selection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServerChoice {
-    /// Send it here.
+    /// The request can be sent to this server.
     Server(ChosenServer),
-    /// Every server has as much as it can do.
+    /// Suitable servers exist, but none can take the request at the moment.
     Full(ExclusionCounts),
-    /// No server can serve this at the moment.
+    /// No suitable server exists at the moment.
     Unavailable,
 }
 
 impl ServerChoice {
-    /// What the engines that might be chosen have room for.
+    /// Returns the remaining capacity of the candidate engines.
     pub fn engine_room(&self) -> EngineRoom {
         match self {
             Self::Server(server) => {
@@ -139,32 +140,33 @@
     }
 }
 
-/// What kept a request from the servers that could have served it.
+/// Number of suitable servers that were excluded, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExclusionCounts {
-    /// Servers with as many requests as they are sent at most, or that refused one a moment ago.
+    /// Servers at their limit of requests in flight or of their cold rate, or that recently refused one.
     pub limited: u32,
-    /// Servers whose first token was predicted too late for the objective.
+    /// Servers whose predicted time to first token exceeds the bound.
     pub late: u32,
-    /// Servers of other failure domains that were left to entries nearer by.
+    /// Servers in other failure domains that are left to the entries there.
     pub reserved_for_local: u32,
-    /// Servers whose rate limit leaves no token to this entry now.
+    /// Servers for whose rate limit this entry currently has no token.
     pub rate_limited: u32,
-    /// Servers that have asked this entry to back off.
+    /// Servers that have requested a backoff.
     pub backing_off: u32,
-    /// The earliest of the late predictions.
+    /// Shortest predicted time to first token among the late servers.
     pub earliest_predicted: Option<Duration>,
-    /// Load of the engine with the shortest wait among the late ones.
+    /// Load of the engine with the shortest predicted wait among the late ones.
     pub shortest_wait_load: Option<EngineLoad>,
 }
 
 impl ExclusionCounts {
-    /// Whether there is any.
+    /// Returns whether any server was excluded.
     fn any(self) -> bool {
         let by_signal = self.rate_limited + self.backing_off;
         self.limited + self.late + self.reserved_for_local + by_signal > 0
     }
 
+    /// Counts a server whose predicted time to first token exceeds the bound.
     fn record_late(&mut self, predicted: Duration) {
         self.late += 1;
         let least = self.earliest_predicted.unwrap_or(predicted);
@@ -172,33 +174,34 @@
     }
 }
 
-/// Why a server is passed over.
+/// Reason why a server is excluded from selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Exclusion {
-    /// It can serve nothing of the kind now.
+    /// The server cannot serve the request.
     Unusable,
-    /// It is sent no more at the moment.
+    /// The server is at its request limit, or has recently refused a request.
     Full,
-    /// Its rate limit leaves no token to this entry now.
+    /// This entry has no token for the rate limit of the server.
     RateLimited,
-    /// It has asked this entry to back off.
+    /// The server has requested a backoff.
     BackingOff,
-    /// Its first token is predicted for then, too late.
+    /// The predicted time to first token exceeds the bound.
     Late(Duration),
 }
 
 impl ServerTable {
-    /// Whether a request may go to an engine of another failure domain, by a number drawn for both
-    /// from 0 to 1: all entries see the same free engines until the next notice.
+    /// Returns whether a request may use an engine in another failure domain. `drawn` is a random number in
+    /// 0..1 for this pair; it bounds the requests to one engine, as all entries see the same free engines
+    /// until the next load notice.
     fn may_use_remote(&self, drawn: f64) -> bool {
         drawn * (self.entries as f64) < REMOTE_ARRIVALS
     }
 
-    /// Chooses the server for a request.
+    /// Selects a server for a request.
     pub fn choose(&self, now: Moment, query: &ServerQuery<'_>) -> ServerChoice {
         let reachable = |state: &ServerState| !self.unreachable.contains(&state.domain);
         match self.choose_among(now, query, reachable) {
-            // What tells of silence may be wrong: better there than nowhere.
+            // Reachability data may be wrong, so unreachable failure domains are the last resort.
             ServerChoice::Unavailable if !self.unreachable.is_empty() => {
                 self.choose_among(now, query, |state| !reachable(state))
             }
@@ -206,17 +209,19 @@
         }
     }
 
-    /// Whether a server may run a request, whatever its load and state. Every choice asks it first.
+    /// Returns whether the routing policy allows a request to run on a server, regardless of load and state.
+    /// Checked first in every selection.
     fn is_allowed(&self, state: &ServerState, query: &ServerQuery<'_>) -> bool {
         query.regions.allows(state.region.as_ref())
     }
 
-    /// Whether a request may run in the own failure domain, so that servers of others are left to the
-    /// entries there.
+    /// Returns whether a request may run in the own failure domain, in which case servers in other failure
+    /// domains are mostly left to the entries there.
     fn may_run_locally(&self, query: &ServerQuery<'_>) -> bool {
         query.regions.allows(self.region.as_ref())
     }
 
+    /// Selects the server with the lowest cost among those that satisfy `may_be_used`.
     fn choose_among(
         &self,
         now: Moment,
@@ -282,6 +287,7 @@
         }
     }
 
+    /// Builds the selection result for a server.
     fn chosen(&self, state: &ServerState, query: &ServerQuery<'_>) -> ChosenServer {
         let layers = query.engine.map_or(0, |engine| engine.figures.layers);
         ChosenServer {
@@ -298,7 +304,7 @@
         }
     }
 
-    /// What a server has to do for all entries.
+    /// Returns the load of a server from all entries.
     pub(super) fn load(&self, state: &ServerState) -> EngineLoad {
         let others = self.others.get(&state.key).copied().unwrap_or_default();
         EngineLoad {
@@ -307,10 +313,12 @@
         }
     }
 
+    /// Predicts the time to first token at a server.
     fn predict(&self, state: &ServerState, engine: EngineQuery<'_>) -> Duration {
         first_token(engine.figures, self.load(state), engine.work)
     }
 
+    /// Returns the cost of sending a request to a server, or why the server is excluded.
     fn cost(
         &self,
         now: Moment,
@@ -336,7 +344,7 @@
             let refused = state.refusals > 0 && state.failures == 0;
             return Err(if refused { Exclusion::Full } else { Exclusion::Unusable });
         }
-        // After a failure one request at a time finds out whether the server is well again.
+        // After a failure, one request at a time probes whether the server has recovered.
         if state.failures > 0 && state.own.in_flight > 0 {
             return Err(Exclusion::Unusable);
         }
@@ -358,7 +366,8 @@
         Ok(load + late + self.distance(&record.zone) + failing)
     }
 
-    /// The predicted first token as a share of the objective, unless that would be missed.
+    /// Returns the predicted time to first token as a share of the objective, or [`Exclusion::Late`] if it
+    /// exceeds [`MAX_PREDICTED_PERCENT`].
     fn lateness(&self, state: &ServerState, engine: EngineQuery<'_>) -> Result<f64, Exclusion> {
         let objective = engine.work.objective;
         if objective.is_zero() {
@@ -366,7 +375,7 @@
         }
         let may_be_late = engine.continues;
         let predicted = self.predict(state, engine);
-        // An idle engine takes whatever comes: a prompt that is long for its objective as well.
+        // An idle engine takes any request, including a prompt that is too long for its objective.
         let idle = self.load(state).waiting_tokens == 0;
         if !may_be_late && !idle && predicted > objective * MAX_PREDICTED_PERCENT / 100 {
             return Err(Exclusion::Late(predicted));
@@ -374,6 +383,7 @@
         Ok(predicted.as_secs_f64() / objective.as_secs_f64())
     }
 
+    /// Returns the cost of the distance to a failure domain.
     fn distance(&self, zone: &DomainId) -> f64 {
         let Some(own) = &self.zone else { return 0.0 };
         if own == zone {
@@ -383,12 +393,12 @@
         if region(own).is_some() && region(own) == region(zone) { ZONE_COST } else { REGION_COST }
     }
 
-    /// Whether a server stands in the own failure domain.
+    /// Returns whether a server is in the own failure domain.
     fn is_local(&self, state: &ServerState) -> bool {
         self.zone.as_ref().is_none_or(|zone| *zone == state.record.zone)
     }
 
-    /// Requests that a server is sent at most, by all entries.
+    /// Returns the maximum number of requests in flight at a server, over all entries.
     fn limit(&self, state: &ServerState, query: &ServerQuery<'_>) -> u32 {
         let slots = state.record.slots.max(1);
         match query.engine {
--- a/crates/core/src/direct/server_table/cold.rs
+++ b/crates/core/src/direct/server_table/cold.rs
@@ -1,22 +1,22 @@
-//! Servers that have just come back take new work at a bounded rate.
+//! Slow start: limits the request rate to servers that have just returned.
 //!
-//! The bound holds over all entries together. Each uses its part of it, beginning at a moment of its
-//! own, so that a server that is back gets single requests instead of one from everybody at once.
+//! The limit applies to all entries together. Each entry uses an equal share and starts at its own phase, so
+//! that a returning server gets single requests instead of one from every entry at the same time.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::time::Moment;
 
-/// Requests a second that a cold server of each service is sent at most, by all entries.
+/// Maximum request rates of cold servers, over all entries.
 #[derive(Debug, Clone, Default)]
 pub struct ColdRates {
-    /// By service; a service that is missing has no bound.
+    /// Requests per second for one cold server, by service; services without an entry are not limited.
     pub services: HashMap<Arc<str>, f64>,
-    /// Where this entry begins among the others, from 0 to 1.
+    /// Phase of this entry among all entries, from 0 to 1.
     pub phase: f64,
 }
 
-/// The time for which a server is cold, and what this entry has sent it in that time.
+/// Cold period of a server, with the number of requests that this entry has sent in it.
 #[derive(Debug, Clone, Copy)]
 pub struct ColdPeriod {
     since: Moment,
@@ -25,7 +25,8 @@
 }
 
 impl ColdPeriod {
-    /// A server that is cold for `rest` more; `before` is what was known of it.
+    /// Creates or extends the cold period of a server that stays cold for `rest`; `before` is its previous
+    /// period. Returns `None` if the server is warm.
     pub fn new(now: Moment, rest: Duration, before: Option<Self>) -> Option<Self> {
         if rest.is_zero() {
             return None;
@@ -34,13 +35,13 @@
         Some(Self { until: now + rest, ..before.unwrap_or(first) })
     }
 
-    /// Notes that a request has been sent there.
+    /// Records that a request was sent to the server.
     pub fn record_sent(&mut self) {
         self.sent += 1;
     }
 
-    /// Whether this entry, one of `entries`, may send one more request where all of them together may
-    /// send `rate` a second.
+    /// Returns whether this entry, one of `entries`, may send another request if all of them together may send
+    /// `rate` requests per second.
     pub fn may_send(&self, now: Moment, rate: f64, entries: usize, phase: f64) -> bool {
         if now >= self.until {
             return true;
--- a/crates/core/src/direct/server_table/limits.rs
+++ b/crates/core/src/direct/server_table/limits.rs
@@ -31,32 +31,32 @@
         self.limits.record(now, life, limit, sent)
     }
 
-    /// Merges a rate limit that another entry has heard of; returns whether it changed.
+    /// Merges a rate limit learned from another entry; returns whether it changed.
     pub fn merge_limit(&mut self, now: Moment, notice: LimitNotice) -> bool {
         self.limits.merge(now, notice)
     }
 
-    /// Rate limits to gossip.
+    /// Returns the recently advertised rate limits to gossip.
     pub fn recent_limits(&self, now: Moment) -> Vec<LimitNotice> {
         self.limits.recent(now)
     }
 
-    /// The rate limit of a server.
+    /// Returns the rate limit of a server.
     pub fn rate_limit(&self, life: LifeKey) -> Option<RequestRate> {
         self.limits.limit(life)
     }
 
-    /// Number of servers with a rate limit.
+    /// Returns the number of servers with a rate limit.
     pub fn rate_limits(&self) -> usize {
         self.limits.count()
     }
 
-    /// Whether any rate limit is known, so that [`Self::assign_limit_shares`] is due.
+    /// Returns whether any rate limit is known, which requires [`Self::assign_limit_shares`].
     pub fn has_limits(&self) -> bool {
         !self.limits.is_empty()
     }
 
-    /// Assigns this entry `own` its shares in all limits; `entries` are the living ones, this one included.
+    /// Assigns this entry, `own`, its shares in all limits; `entries` are the live entries including this one.
     pub fn assign_limit_shares(&mut self, now: Moment, own: EntryKey, entries: &[EntryPeer]) {
         let mut candidates = CandidateLists::new(entries);
         let mut listed = HashSet::new();
@@ -76,12 +76,13 @@
         self.limits.forget_old(now, |life| listed.contains(&life));
     }
 
-    /// Takes a token for one request to a server, right before it is sent.
+    /// Takes a token for one request to a server, immediately before it is sent.
     pub fn try_acquire(&mut self, now: Moment, life: LifeKey) -> bool {
         self.limits.try_acquire(now, life)
     }
 
-    /// Time until some server of the service is free again, where rate limits or backoffs exclude all.
+    /// Returns the time until a server of the service is available again, if rate limits or backoffs currently
+    /// exclude all of them.
     pub fn retry_after(&self, now: Moment, service: &str) -> Option<Duration> {
         let ids = self.services.get(service)?;
         let usable = ids.iter().filter_map(|id| self.servers.get(id));
@@ -97,7 +98,7 @@
     }
 }
 
-/// Candidates for the limits of each service's servers.
+/// Entries that are candidates to hold the rate limits of each service's servers.
 struct CandidateLists<'a> {
     entries: &'a [EntryPeer],
     domains: HashMap<Arc<str>, BTreeSet<DomainKey>>,
@@ -109,8 +110,8 @@
         Self { entries, domains: HashMap::new(), lists: HashMap::new() }
     }
 
-    /// Entries of the server's failure domain and of those without a usable server of the service; all
-    /// entries if there are none.
+    /// Returns the entries in the server's failure domain and in failure domains without a usable server of
+    /// the service; all entries if there are none.
     fn near(
         &mut self,
         service: &Arc<str>,
--- a/crates/core/src/direct/server_table/signals.rs
+++ b/crates/core/src/direct/server_table/signals.rs
@@ -5,19 +5,19 @@
 use super::{ChosenServer, ServerState, ServerTable};
 use crate::{direct::suspects::LifeKey, time::Moment};
 
-/// Why a chosen server is not sent the request after all.
+/// Reason why a selected server is not sent the request after all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ineligible {
-    /// It is no longer listed, or has restarted.
+    /// The server is no longer listed or has restarted.
     Gone,
-    /// It is draining.
+    /// The server is draining.
     Draining,
-    /// It has asked this entry to back off.
+    /// The server has requested a backoff.
     BackingOff,
 }
 
 impl Ineligible {
-    /// The cause, for logs.
+    /// Returns the cause as it appears in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Gone => "server_gone",
@@ -28,26 +28,26 @@
 }
 
 impl ServerTable {
-    /// Marks a server that has announced in an answer that it drains; returns whether that is new.
+    /// Marks a server process that has announced draining in a response; returns whether that is new.
     pub fn mark_draining(&mut self, now: Moment, life: LifeKey) -> bool {
         self.draining_lives.note(now, life)
     }
 
-    /// Draining servers to gossip.
+    /// Returns the recently announced draining server processes to gossip.
     pub fn recent_draining_lives(&self, now: Moment) -> Vec<LifeKey> {
         self.draining_lives.recent(now)
     }
 
-    /// Keeps requests of this entry from a server for `backoff`, as it has asked.
+    /// Starts a backoff requested by a server; this entry sends it no requests for that time.
     pub fn start_backoff(&mut self, now: Moment, server: &ChosenServer, backoff: Duration) {
         let state = self.servers.get_mut(&server.id).filter(|state| state.life == server.life);
         if let Some(state) = state {
-            // A shorter time in a late answer does not end a longer one.
+            // A shorter backoff in a late response does not cut a longer one short.
             state.backoff_until = state.backoff_until.max(Some(now + backoff));
         }
     }
 
-    /// Whether a chosen server may still be sent the request.
+    /// Checks whether a selected server may still be sent the request.
     pub fn check_eligibility(&self, now: Moment, server: &ChosenServer) -> Result<(), Ineligible> {
         let state = self.servers.get(&server.id).filter(|state| state.life == server.life);
         match state {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Forgets draining servers that have not been listed for some time.
+    /// Removes draining server processes that have not been listed for some time.
     pub(super) fn prune_draining_lives(&mut self, now: Moment) {
         if !self.draining_lives.is_empty() {
             let lives: HashSet<LifeKey> = self.servers.values().map(|state| state.life).collect();
@@ -68,12 +68,12 @@
 }
 
 impl ServerState {
-    /// Rest of the backoff that it has asked for.
+    /// Returns the remaining time of the backoff requested by the server.
     pub(super) fn backoff(&self, now: Moment) -> Duration {
         self.backoff_until.map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// Whether it backs off, or its first request after that is still unanswered.
+    /// Returns whether the server is in backoff or has not yet answered the first request after it.
     pub(super) fn is_backing_off(&self, now: Moment) -> bool {
         !self.backoff(now).is_zero() || (self.backoff_until.is_some() && self.waiting > 0)
     }
--- a/crates/core/src/direct/server_table/weight_changes.rs
+++ b/crates/core/src/direct/server_table/weight_changes.rs
@@ -1,5 +1,5 @@
-//! What an entry has at servers that are about to change their weights, and what of it could go on
-//! elsewhere.
+//! Requests at servers that are about to change their weights, and which of the streams can be resumed on
+//! other servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,28 +14,28 @@
 use super::{ServerState, ServerTable, continuation_limit, has_weights, is_changing};
 use crate::{direct::peers::DrainNotice, time::Moment};
 
-/// What limits the continuation of streams of one service.
+/// Limits on resuming the streams of one service on other servers.
 #[derive(Debug, Clone, Copy)]
 pub struct ContinuationLimits {
-    /// Layers of the model; 0 if it is not said.
+    /// Number of layers of the model; 0 if unknown.
     pub layers: u32,
-    /// The least version of weights that may go on.
+    /// Minimum weight version of a server that resumes a stream.
     pub min_version: Option<WeightVersion>,
-    /// Retries that this entry may still send.
+    /// Remaining retry budget of this entry.
     pub retries: usize,
-    /// Some of the streams may go on only within their region.
+    /// Whether some of the streams may only be resumed within their region.
     pub within_region: bool,
 }
 
 impl ServerTable {
-    /// Services some of whose servers get nothing because they are about to change.
+    /// Returns the services with servers that get no requests because they are about to change weights.
     pub fn changing_services(&self) -> BTreeSet<Arc<str>> {
         let changing = self.servers.values().filter(|state| is_changing(state));
         changing.map(|state| state.record.service.clone()).collect()
     }
 
-    /// Servers that get nothing because they are about to change, for their agents; `limits` by
-    /// service.
+    /// Returns drain notices for the agents of servers that get no requests because they are about to change
+    /// weights. `limits` are by service.
     pub fn drains(
         &self,
         now: Moment,
@@ -56,8 +56,8 @@
             .collect()
     }
 
-    /// Whether the other servers of a service have room for what runs at those that are changing: all
-    /// of it comes to them at once.
+    /// Returns whether the other servers of a service have capacity for all requests at the servers that are
+    /// changing, which would arrive at the same time.
     fn can_move(&self, now: Moment, service: &str, limits: &ContinuationLimits) -> bool {
         let ids = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         let servers: Vec<&ServerState> = ids.iter().filter_map(|id| self.servers.get(id)).collect();
@@ -76,7 +76,7 @@
         regions.values().all(|servers| self.has_room(now, servers, limits))
     }
 
-    /// Whether those of `servers` that are not changing have room for what runs at the others.
+    /// Returns whether those of `servers` that are not changing have capacity for the requests at the others.
     fn has_room(&self, now: Moment, servers: &[&ServerState], limits: &ContinuationLimits) -> bool {
         let (changing, others): (Vec<&ServerState>, Vec<&ServerState>) =
             servers.iter().copied().partition(|state| is_changing(state));
@@ -95,14 +95,14 @@
         room >= moving
     }
 
-    /// Notes that a stream which has begun at a server may not be sent to another one any more.
+    /// Records that a running stream can no longer be resumed on another server.
     pub fn begin_pinned_stream(&mut self, id: &ServerId) {
         if let Some(state) = self.servers.get_mut(id) {
             state.pinned_streams += 1;
         }
     }
 
-    /// Notes the end of such a stream.
+    /// Records the end of a stream counted by [`Self::begin_pinned_stream`].
     pub fn end_pinned_stream(&mut self, id: &ServerId) {
         if let Some(state) = self.servers.get_mut(id) {
             state.pinned_streams = state.pinned_streams.saturating_sub(1);
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -1,6 +1,6 @@
-//! Requests that may run in some regions only reached servers elsewhere: nothing that chooses a server
-//! read the regions of a route. Whatever servers, plans, cuts, versions and retries there are, no choice
-//! leaves them.
+//! Guards against requests restricted to some regions reaching servers in others because server selection
+//! ignores the regions of the route. No selection may leave the allowed regions, whatever the servers, plans,
+//! network partitions, versions and retries.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -29,7 +29,7 @@
 use entry::{at, changing, server};
 use figures::figures;
 
-/// Failure domains with their regions; the region of `z4` is not known.
+/// Failure domains with their regions; the region of `z4` is unknown.
 const ZONES: [(&str, &str); 4] = [("z1", "r1"), ("z2", "r1"), ("z3", "r2"), ("z4", "")];
 
 fn region_of(zone: &DomainId) -> Option<RegionId> {
@@ -52,7 +52,7 @@
     table
 }
 
-/// What a request asks for, and what there is.
+/// Generated request and server state.
 #[derive(Debug, Clone)]
 struct RegionCase {
     zone: usize,
@@ -126,7 +126,7 @@
         table
     }
 
-    /// The zone of the server that is chosen, if one is.
+    /// Failure domain of the selected server, if any.
     fn chosen(&self) -> Option<DomainId> {
         let records = self.records();
         let table = self.table(&records);
@@ -190,8 +190,8 @@
     expect_that!(choose(&table, &only(&[]), 1), eq("nobody"));
 }
 
-/// Servers of other failure domains are mostly left to the entries there, but not by those whose requests
-/// may run nowhere else.
+/// Servers in other failure domains are mostly left to the entries there, except for requests that may run
+/// nowhere else.
 #[gtest]
 fn remote_region_is_fully_used_by_requests_restricted_to_it() {
     let mut table = table_in("z1", &[server("near", "z1", 1), server("far", "z3", 1)]);
@@ -200,7 +200,7 @@
     let drawn =
         (0..200u64).map(|draw| choose(&table, &far, draw.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     expect_that!(drawn.filter(|chosen| chosen == "far").count(), eq(200));
-    // Its last slots as well.
+    // The slots reserved for local entries are used as well.
     table.set_other_load(
         server_key(&ServerId("far".into())),
         EngineLoad { in_flight: 15, waiting_tokens: 0 },
@@ -228,7 +228,7 @@
     expect_that!(refused[1], gt(1_500));
 }
 
-/// Streams that may go on in their region only are kept where the room there is not enough.
+/// Streams that may only be resumed in their region are kept if that region lacks capacity.
 #[gtest]
 fn streams_in_region_without_capacity_delay_change() {
     let (one, other) = (server("a", "z1", 1), server("b", "z3", 1));
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Decisions of entries that call servers directly.
+//! Routing, retry budgets, weight deadlines, event splitting and server selection in an entry.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -106,14 +106,14 @@
 fn membership_changes_do_not_enlarge_retry_shares() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
-    // Just started: nobody is known yet, and the slack is everybody's.
+    // Just after the start no other entries are known, so the slack belongs to everyone.
     let count = |share: &mut RetryShare, now, entries| {
         (0..1000).filter(|_| share.take(at(now), "llm", entries)).count()
     };
     expect_that!(count(&mut share, 1_000, 1), eq(2));
     let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
     expect_that!(count(&mut share, 4_000, 10), eq(8));
-    // Nine of ten are out of reach: the share is what it was until the window has passed.
+    // Nine of ten entries are unreachable: the share stays unchanged until the window has passed.
     expect_that!(count(&mut share, 9_000, 1), eq(0));
     expect_that!(count(&mut share, 14_500, 1), eq(85));
 }
@@ -122,7 +122,7 @@
 fn a_version_that_others_have_known_for_longer_is_due_as_soon_as_theirs() {
     let time = millis(8_000);
     let mut weights = WeightDeadlines::default();
-    // This process has just started: its own list says nothing of when the version was named.
+    // Just after the start the first listing does not tell when the version was set.
     weights.learn(at(100), &model(), WeightVersion(2));
     expect_that!(weights.least(at(2_000), &model(), time), none());
     let news = weights.learn_late(at(1_000), &model(), WeightVersion(2), millis(5_500));
@@ -130,7 +130,7 @@
     expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     let left = weights.work_time(at(2_000), &model(), WeightVersion(1), time);
     expect_that!(left, some(eq(millis(1_100))));
-    // One that knows it for less long changes nothing, and a newer one is news.
+    // A peer that has known the version for less time changes nothing; a newer version is a change.
     weights.learn_late(at(2_000), &model(), WeightVersion(2), millis(10));
     expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     expect_that!(weights.learn_late(at(2_000), &model(), WeightVersion(3), millis(0)), eq(true));
@@ -336,7 +336,7 @@
     expect_that!(choose(&table, at(10), None, &[]), eq("nobody"));
     table.merge_leaving(at(20), told(7, true));
     expect_that!(choose(&table, at(30), None, &[]), eq("a"));
-    // A record that says so itself holds for as long as it stands, whatever is forgotten.
+    // A draining record applies for as long as it is stored, even after gossip state has expired.
     let draining = ServerRecord { draining: true, ..server("a", "z1", 1) };
     table.set(at(40), draining, ChangeMark(9));
     table.remove(at(100_000), &ServerId("other".into()), ChangeMark(10));
@@ -349,7 +349,7 @@
     expect_that!(peers.hear(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
     peers.hear(at(1), notice("10.0.0.2:7", 1, 4, 9));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(3)));
-    // One that was started again begins anew.
+    // A restarted peer starts a new sequence.
     peers.hear(at(2), notice("10.0.0.2:7", 2, 1, 1));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(1)));
     expect_that!(peers.entries(PeerKind::Entry), eq(2));
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -1,4 +1,4 @@
-//! What is waited for before a server changes its weights.
+//! Draining of a server before it changes its weights.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     expect_that!(table.drains(at(0), &BTreeMap::new()), eq(&drain(0)));
 }
 
-/// An entry with streams at one server of a service, and `elsewhere` requests at its other server.
+/// Table with three streams at the changing server of a service and `elsewhere` requests at the other server.
 fn table_with_streams(elsewhere: u32) -> (ServerTable, ServerId, ServerRecord) {
     let (one, other) = (server("a", "z1", 1), server("b", "z1", 1));
     let mut table = table(&[one.clone(), other.clone()]);
@@ -63,19 +63,19 @@
         ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region: false };
     let (mut table, id, record) = table_with_streams(0);
     expect_that!(unmovable_streams(&table, limits), eq(0));
-    // One has no attempt left.
+    // One stream has no attempts left.
     table.begin_pinned_stream(&id);
     expect_that!(unmovable_streams(&table, limits), eq(1));
     table.end_pinned_stream(&id);
     expect_that!(unmovable_streams(&table, limits), eq(0));
-    // Retries are used up; the others' weights are too old.
+    // The retry budget is used up; the weights of the other server are too old.
     expect_that!(unmovable_streams(&table, ContinuationLimits { retries: 2, ..limits }), eq(3));
     let least = Some(WeightVersion(2));
     expect_that!(
         unmovable_streams(&table, ContinuationLimits { min_version: least, ..limits }),
         eq(3)
     );
-    // The other server has no room.
+    // The other server has no capacity.
     let room = record.slots + 6;
     let (full, ..) = table_with_streams(room - 2);
     expect_that!(unmovable_streams(&full, limits), eq(3));
@@ -83,7 +83,7 @@
     expect_that!(unmovable_streams(&free, limits), eq(0));
 }
 
-/// The server that the streams would have to go on at.
+/// The server on which the streams would be resumed.
 fn other_server(table: &ServerTable) -> ChosenServer {
     let query = ServerQuery {
         service: "llm",
@@ -130,10 +130,10 @@
     };
     expect_that!(may_change(&view(900, 1)), eq(false));
     expect_that!(may_change(&view(1400, 9)), eq(false));
-    // The last one has ended, and its entry has not told yet.
+    // The last stream has ended, but its entry has not reported that yet.
     expect_that!(may_change(&view(900, 0)), eq(true));
     expect_that!(may_change(&view(1500, 9)), eq(true));
-    // What waits to begin is waited for as before.
+    // Requests that have not started still delay the change.
     let waiting = DrainReport { waiting: 1, ..entries };
     expect_that!(may_change(&DrainView { entries: waiting, ..view(1500, 9) }), eq(false));
 }
@@ -172,18 +172,18 @@
     expect_that!(may_change(&view(900, 0, 0, waiting)), eq(false));
     let silent = DrainReport { unconfirmed: 1, waiting: 0, kept: 0 };
     expect_that!(may_change(&view(900, 0, 0, silent)), eq(false));
-    // Whoever is silent for longer than an entry may be is gone.
+    // An entry that is silent for longer than the timeout is considered gone.
     expect_that!(may_change(&view(1800, 0, 0, silent)), eq(true));
     let unknown = DrainView { requests: None, ..view(900, 0, 0, confirmed) };
     expect_that!(may_change(&unknown), eq(false));
-    // The first of all waits less for what runs, and as long for what waits.
+    // The first server waits less for running requests, but not for queued ones.
     let first = DrainView { is_first: true, ..view(300, 0, 9, confirmed) };
     expect_that!(may_change(&first), eq(true));
     let first = DrainView { is_first: true, ..view(300, 1, 9, confirmed) };
     expect_that!(may_change(&first), eq(false));
 }
 
-/// A server that was started again under another id is listed beside its former self for a while.
+/// A server restarted under another ID is listed next to its old record for a while.
 #[gtest]
 fn agent_notice_applies_to_every_record_at_its_address() {
     let former = server("a", "z1", 1);
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Servers of a failure domain that is being emptied, and servers that come back cold.
+//! Evacuation of failure domains, and slow start of returning servers.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -23,7 +23,7 @@
 use entry::{at, server, table};
 use figures::figures;
 
-/// Requests a second that a cold server is sent at most, by all entries.
+/// Maximum requests per second to a cold server, over all entries.
 const COLD_RATE: f64 = 17.0;
 
 fn domain(name: &str) -> DomainKey {
@@ -56,7 +56,7 @@
     for continues in [false, true] {
         expect_that!(choose(&table, 0, continues), some(eq("far")));
     }
-    // Nobody else is there: nothing goes back.
+    // No other failure domain is available: evacuated servers still get no requests.
     table.set_unreachable_domains([domain("z2")].into());
     table.set_evacuated_domains([domain("z1"), domain("z2")].into());
     expect_that!(choose(&table, 0, false), none());
@@ -72,7 +72,7 @@
     };
     let mut known = EvacuatedDomains::default();
     expect_that!(known.merge(&set(5, &["z1"])), eq(true));
-    // An older list comes late, and one of a later place says the same.
+    // A late, older set is ignored, and a newer set with the same content is no change.
     expect_that!(known.merge(&set(4, &[])), eq(false));
     expect_that!(known.merge(&set(6, &["z1"])), eq(false));
     let next = known.with_changes(ChangeMark(9), [(domain("z1"), false), (domain("z2"), true)]);
@@ -90,8 +90,8 @@
     table
 }
 
-/// Requests that a server is sent in each second after its return, by `entries` entries that all have
-/// more for it than it may be sent.
+/// Requests sent to a returned server in each second by `entries` entries, all of which have more requests
+/// than they may send.
 fn sent_by_second(entries: usize) -> Vec<usize> {
     let mut tables: Vec<ServerTable> =
         (0..entries).map(|index| cold_table(index as f64 / entries as f64, entries)).collect();
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of servers that leave.
+//! Gossip about draining and deregistered servers.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
     expect_that!(servers.record_leaving(at(10), 7, mark(9)), eq(true));
     expect_that!(servers.record_leaving(at(20), 7, mark(9)), eq(false));
     expect_that!(servers.is_leaving(7), eq(true));
-    // An old list says what was before.
+    // An outdated listing does not change the state.
     servers.record_ready(at(30), 7, mark(5));
     expect_that!(servers.is_leaving(7), eq(true));
-    // It lapsed while the store was away, and is back.
+    // The record expired while the store was unavailable, and the server has returned.
     servers.record_ready(at(40), 7, mark(12));
     expect_that!(servers.is_leaving(7), eq(false));
-    // Somebody who has not heard that tells the old word still.
+    // A peer without the newer record still sends the old notice.
     expect_that!(servers.record_leaving(at(50), 7, mark(9)), eq(false));
     expect_that!(servers.is_leaving(7), eq(false));
 }
@@ -93,7 +93,7 @@
         silent.merge(at(2100), told);
     });
     expect_that!(silent.is_leaving(7), eq(false));
-    // Servers that were there all along are not told at all.
+    // Servers that never left are not gossiped.
     reads.record_ready(at(2000), 8, mark(3));
     expect_that!(reads.recent(at(2100)).len(), eq(1));
 }
@@ -131,20 +131,20 @@
     expect_that!(table.mark_draining(at(20), server.life), eq(false));
     expect_that!(table.recent_draining_lives(at(30)), eq(&vec![server.life]));
     expect_that!(table.recent_draining_lives(at(9000)), is_empty());
-    // What was chosen before is not sent either.
+    // A request for which the server was selected earlier is not sent either.
     expect_that!(table.check_eligibility(at(30), &server), err(eq(Ineligible::Draining)));
-    // The store says for long that it is ready, with newer marks too.
+    // The store keeps listing the server as ready, also with newer revisions.
     for (millis, revision) in [(40, 1), (5_000, 7), (70_000, 9)] {
         table.set(at(millis), record(1000, false), mark(revision));
         table.retain_listed(at(millis), &[ServerId("i1".into())], mark(revision));
         expect_that!(chosen(&table, at(millis)), none());
         expect_that!(table.is_planned_shutdown(&server.id), eq(true));
     }
-    // Its record lapses and is back.
+    // The record expires and reappears.
     table.remove(at(80_000), &server.id, mark(10));
     table.set(at(80_100), record(1000, false), mark(11));
     expect_that!(chosen(&table, at(80_100)), none());
-    // It starts again.
+    // The server restarts.
     table.set(at(81_000), record(2000, false), mark(12));
     expect_that!(chosen(&table, at(81_000)), some(anything()));
 }
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -1,6 +1,6 @@
-//! What an entry does with a list of thousands of servers, and who reads such a list after all processes
-//! have started at once. Each entry that lacked the list read it for itself, and worked out the index of all
-//! servers anew for each of them.
+//! Scaling with thousands of servers. Guards against quadratic work when an entry rebuilds the index of all
+//! servers for each server in a list, and against every entry reading the list from the store when all
+//! processes start at the same time.
 
 use std::{
     collections::HashMap,
@@ -20,10 +20,10 @@
 
 use entry::{at, server, table};
 
-/// Far more servers than there are, so that work by pairs of them takes minutes.
+/// Far more servers than in real deployments, so that quadratic work takes minutes.
 const SERVERS: usize = 20_000;
 
-/// Time for all that is done with them.
+/// Maximum time for all operations on the list.
 const MAX_TIME: Duration = Duration::from_secs(10);
 
 fn servers(count: usize) -> Vec<ServerRecord> {
@@ -87,7 +87,7 @@
     expect_that!(chosen("third"), eq("nobody"));
 }
 
-/// Processes of a failure domain that read the store by themselves in the first seconds of a start.
+/// Counts the processes of a failure domain that read the store themselves in the first seconds after a start.
 #[gtest]
 fn store_readers_after_start_do_not_grow_with_fleet() {
     let read_within = |processes: usize, seconds: u64| {
@@ -98,6 +98,6 @@
         expect_that!(read_within(processes, 2), eq(2), "{processes} processes");
         expect_that!(read_within(processes, 5), eq(6), "{processes} processes");
     }
-    // Whoever is alone waits for nobody.
+    // The first process waits only for the initial delay.
     expect_that!(turn_time(Duration::from_millis(1_500), 0), eq(Duration::from_millis(1_500)));
 }
--- a/crates/core/tests/rate_limits.rs
+++ b/crates/core/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! A rate limit of a server holds for all entries together, in fleets of any size.
+//! Distributed rate limiting: the limit of a server holds over all entries, whatever their number.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// Entries of a fleet before one server with a limit, which stands in the first failure domain.
+/// Entries that share one rate-limited server in the first failure domain.
 struct Fleet {
     now: Moment,
     tables: Vec<ServerTable>,
     peers: Vec<EntryPeer>,
-    /// Entries that each entry does not know.
+    /// Entries missing from the membership view of each entry.
     unknown: Vec<Vec<EntryKey>>,
     life: LifeKey,
     random: SmallRng,
@@ -63,7 +63,7 @@
 }
 
 impl Fleet {
-    /// `domains` have entries, the first `served` of them a server of the service each.
+    /// Creates entries in `domains` failure domains; the first `served` of these have one server each.
     fn new(entries: usize, domains: usize, served: usize, seed: u64) -> Self {
         let zone = |number: usize| domain(number % domains);
         let peer = |number| EntryPeer {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// All entries learn of the limit.
+    /// Advertises the limit to all entries.
     fn advertise(&mut self, limit: RequestRate) {
         for table in &mut self.tables {
             table.record_limit(self.now, self.life, Some(limit), self.now);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Callers come for `time`, to each entry `per_second` of them, or to none where `idle` says so.
+    /// Sends requests to each entry for `time`, `per_second` on average, except to entries that are `idle`.
     fn run(&mut self, time: Duration, per_second: f64, idle: impl Fn(usize) -> bool) {
         let until = self.now + time;
         while self.now < until {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Entries gossip what they know.
+    /// Gossips the most recent limit to all entries.
     fn gossip(&mut self) {
         let heard = self.tables.iter().flat_map(|table| table.recent_limits(self.now));
         let Some(newest) = heard.min_by_key(|notice| notice.age) else { return };
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Entries that may send something within the next seconds, as they do by themselves.
+    /// Returns the entries that may send a request within `time`.
     fn holders(&mut self, time: Duration) -> Vec<usize> {
         let until = self.now + time;
         let mut holders = Vec::new();
@@ -167,7 +167,7 @@
     }
 }
 
-/// Requests that all entries together may send in four seconds.
+/// Maximum number of requests from all entries within [`WINDOW`].
 fn allowed(limit: RequestRate) -> usize {
     (limit.per_second() * 1.5 * WINDOW.as_secs_f64()) as usize + 5
 }
@@ -266,7 +266,7 @@
     expect_that!(limits.record(at(10), life, Some(limit), at(8)), eq(true));
     expect_that!(limits.record(at(20), life, Some(limit), at(18)), eq(false));
     expect_that!(limits.wait(at(20), life), none());
-    // An answer to what was sent before may have begun before.
+    // A response to an earlier request may have started before the limit was advertised.
     expect_that!(limits.record(at(30), life, None, at(9)), eq(false));
     expect_that!(limits.limit(life), some(eq(limit)));
     expect_that!(limits.record(at(40), life, None, at(35)), eq(true));
@@ -286,7 +286,7 @@
     let age = Duration::from_millis(700);
     expect_that!(limits.recent(at(1700)), eq(&vec![LimitNotice { life, limit: Some(limit), age }]));
     expect_that!(limits.recent(at(7000)), is_empty());
-    // The age is unknown to an entry that has just started.
+    // An entry that has just started does not know the age.
     let mut young = RateLimits::default();
     let told = LimitNotice { life, limit: Some(limit), age: Duration::from_secs(3) };
     expect_that!(young.merge(at(500), told), eq(true));
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -1,5 +1,5 @@
-//! A server that starts again under the id that it had holds and knows nothing of before: what an entry
-//! keeps by its id must not outlast its life.
+//! A server that restarts under the same ID has lost all state of the earlier process. Guards against entries
+//! applying state of the earlier process, which they keep by server ID, to the new one.
 
 use std::time::Duration;
 
@@ -77,7 +77,7 @@
     expect_that!(choose(&table, at(100)), none());
     table.set(at(100), record(2000), ChangeMark(2));
     expect_that!(choose(&table, at(100)), some(anything()));
-    // One that was sent before, and is found to have failed only now, says nothing of this life.
+    // A late failure of a request to the earlier process does not count against the new one.
     table.begin(&first.id, 0);
     table.end_chosen(at(110), &first, ServerOutcome::Lost);
     expect_that!(choose(&table, at(110)), some(anything()));
@@ -106,12 +106,12 @@
     let mut table = table();
     let server = choose(&table, at(0)).expect("a server");
     table.start_backoff(at(0), &server, Duration::from_secs(3));
-    // A late answer asks for less.
+    // A late response requests a shorter backoff.
     table.start_backoff(at(10), &server, Duration::from_secs(1));
     expect_that!(choose(&table, at(2_900)), none());
     expect_that!(table.check_eligibility(at(2_900), &server), err(eq(Ineligible::BackingOff)));
     expect_that!(table.retry_after(at(2_000), "s"), some(eq(Duration::from_secs(1))));
-    // What was in progress before ends well meanwhile.
+    // A request that was in flight before the backoff succeeds in the meantime.
     table.begin(&server.id, 0);
     table.finish_prefill(&server.id, 0);
     table.end_chosen(at(2_500), &server, ServerOutcome::Answered);
@@ -126,7 +126,7 @@
     table.start_backoff(at(3_040), &server, Duration::from_secs(60));
     table.set(at(3_050), record(2000), ChangeMark(2));
     expect_that!(choose(&table, at(3_060)), some(anything()));
-    // An answer of the life that has ended says nothing of this one.
+    // A response of the earlier process does not affect the new one.
     table.start_backoff(at(3_070), &server, Duration::from_secs(60));
     expect_that!(choose(&table, at(3_080)), some(anything()));
 }
--- a/crates/core/tests/support/entry.rs
+++ b/crates/core/tests/support/entry.rs
@@ -1,6 +1,6 @@
-//! Servers, peers and times as tests of entries use them.
+//! Fixtures for tests of entries: servers, peers and times.
 
-// Each test file uses a part of it.
+// Each test crate uses a subset.
 #![allow(dead_code)]
 
 use std::{collections::HashMap, time::Duration};
@@ -19,22 +19,22 @@
     traffic::{HeldLayers, HeldModel, ServerId, ServerRecord, WeightVersion},
 };
 
-/// A moment, in milliseconds.
+/// Returns the moment `millis` milliseconds after the start.
 pub fn at(millis: u64) -> Moment {
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-/// A time, in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// The model of every engine.
+/// Returns the model of every engine.
 pub fn model() -> ModelName {
     "m".parse().expect("a name")
 }
 
-/// An engine that holds a version whole.
+/// Returns the record of an engine that has loaded a version completely.
 pub fn server(name: &str, zone: &str, version: u64) -> ServerRecord {
     let layers = vec![HeldLayers { from: 0, until: 16, version: WeightVersion(version) }];
     let held = HeldModel { model: model(), version: WeightVersion(version), layers };
@@ -53,7 +53,7 @@
     }
 }
 
-/// What an agent tells of an engine that is about to change.
+/// Returns the notice of an agent whose engine is about to change weights.
 pub fn changing(record: &ServerRecord) -> ServerNotice {
     ServerNotice {
         address: record.address,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Servers as seen from `z1`, in a region with `z2`.
+/// Returns a table of `servers` for an entry in `z1` (region `r1`), with `z2` in region `r2`.
 pub fn table(servers: &[ServerRecord]) -> ServerTable {
     let zone = |name: &str| -> DomainId { name.parse().expect("a name") };
     let region = |name: &str| name.parse().expect("a name");
@@ -76,7 +76,7 @@
     table
 }
 
-/// A notice of an entry with requests at one server.
+/// Returns the notice of an entry with requests at one server.
 pub fn notice(from: &str, life: u64, sequence: u64, in_flight: u32) -> PeerNotice {
     let load = EngineLoad { in_flight, waiting_tokens: 0 };
     PeerNotice {
