--- a/crates/core/src/direct/evacuation.rs
+++ b/crates/core/src/direct/evacuation.rs
@@ -19,13 +19,13 @@
 
 impl EvacuatedDomains {
     /// Replaces the set with one of a later revision; returns whether the failure domains changed.
-    pub fn merge(&mut self, told: &Self) -> bool {
-        if told.mark <= self.mark {
+    pub fn merge(&mut self, other: &Self) -> bool {
+        if other.mark <= self.mark {
             return false;
         }
-        self.mark = told.mark;
-        let changed = self.domains != told.domains;
-        self.domains.clone_from(&told.domains);
+        self.mark = other.mark;
+        let changed = self.domains != other.domains;
+        self.domains.clone_from(&other.domains);
         changed
     }
 
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -177,7 +177,7 @@
     match table.choose(at(2), &query) {
         ServerChoice::Server(server) => server.id.to_string(),
         ServerChoice::Full(_) => "full".to_owned(),
-        ServerChoice::Unavailable => "nobody".to_owned(),
+        ServerChoice::Unavailable => "unavailable".to_owned(),
     }
 }
 
@@ -185,9 +185,9 @@
 fn no_server_is_chosen_outside_allowed_regions() {
     let table = table_in("z1", &[server("near", "z1", 1), server("unknown", "z4", 1)]);
     expect_that!(choose(&table, &only(&["r1"]), 1), eq("near"));
-    expect_that!(choose(&table, &only(&["r2"]), 1), eq("nobody"));
-    expect_that!(choose(&table, &only(&["r3"]), 1), eq("nobody"));
-    expect_that!(choose(&table, &only(&[]), 1), eq("nobody"));
+    expect_that!(choose(&table, &only(&["r2"]), 1), eq("unavailable"));
+    expect_that!(choose(&table, &only(&["r3"]), 1), eq("unavailable"));
+    expect_that!(choose(&table, &only(&[]), 1), eq("unavailable"));
 }
 
 /// Servers in other failure domains are mostly left to the entries there, except for requests that may run
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -125,8 +125,8 @@
     // Just after the start the first listing does not tell when the version was set.
     weights.learn(at(100), &model(), WeightVersion(2));
     expect_that!(weights.least(at(2_000), &model(), time), none());
-    let news = weights.learn_late(at(1_000), &model(), WeightVersion(2), millis(5_500));
-    expect_that!(news, eq(false));
+    let changed = weights.learn_late(at(1_000), &model(), WeightVersion(2), millis(5_500));
+    expect_that!(changed, eq(false));
     expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     let left = weights.work_time(at(2_000), &model(), WeightVersion(1), time);
     expect_that!(left, some(eq(millis(1_100))));
@@ -232,7 +232,7 @@
     match table.choose(now, &query) {
         ServerChoice::Server(server) => server.id.to_string(),
         ServerChoice::Full(_) => "full".to_owned(),
-        ServerChoice::Unavailable => "nobody".to_owned(),
+        ServerChoice::Unavailable => "unavailable".to_owned(),
     }
 }
 
@@ -260,14 +260,14 @@
 fn server_below_min_version_is_excluded() {
     let table = table(&[server("old", "z1", 1), server("new", "z2", 2)]);
     expect_that!(choose(&table, at(0), Some(2), &[]), eq("new"));
-    expect_that!(choose(&table, at(0), Some(3), &[]), eq("nobody"));
+    expect_that!(choose(&table, at(0), Some(3), &[]), eq("unavailable"));
 }
 
 #[gtest]
 fn server_with_missing_layers_is_excluded() {
     let mut part = server("part", "z1", 1);
     part.models[0].layers[0].until = 15;
-    expect_that!(choose(&table(&[part]), at(0), None, &[]), eq("nobody"));
+    expect_that!(choose(&table(&[part]), at(0), None, &[]), eq("unavailable"));
 }
 
 #[gtest]
@@ -276,7 +276,7 @@
     leaving.draining = true;
     let table = table(&[leaving, server("b", "z2", 1)]);
     expect_that!(choose(&table, at(0), None, &[]), eq("b"));
-    expect_that!(choose(&table, at(0), None, &[ServerId("b".into())]), eq("nobody"));
+    expect_that!(choose(&table, at(0), None, &[ServerId("b".into())]), eq("unavailable"));
 }
 
 #[gtest]
@@ -293,11 +293,11 @@
         service: "llm".to_owned(),
     };
     table.set_notice(record.address, Some(notice(Some(1), true)));
-    expect_that!(choose(&table, at(0), None, &[]), eq("nobody"));
+    expect_that!(choose(&table, at(0), None, &[]), eq("unavailable"));
     table.set_notice(record.address, Some(notice(Some(2), false)));
     expect_that!(choose(&table, at(0), Some(2), &[]), eq("a"));
     table.set_notice(record.address, Some(notice(None, false)));
-    expect_that!(choose(&table, at(0), None, &[]), eq("nobody"));
+    expect_that!(choose(&table, at(0), None, &[]), eq("unavailable"));
 }
 
 #[gtest]
@@ -306,10 +306,10 @@
     let id = ServerId("a".into());
     table.begin(&id, 0);
     table.end(at(0), &id, ServerOutcome::Lost);
-    expect_that!(choose(&table, at(100), None, &[]), eq("nobody"));
+    expect_that!(choose(&table, at(100), None, &[]), eq("unavailable"));
     expect_that!(choose(&table, at(400), None, &[]), eq("a"));
     table.begin(&id, 0);
-    expect_that!(choose(&table, at(400), None, &[]), eq("nobody"));
+    expect_that!(choose(&table, at(400), None, &[]), eq("unavailable"));
     table.end(at(500), &id, ServerOutcome::Answered);
     expect_that!(choose(&table, at(500), None, &[]), eq("a"));
 }
@@ -327,20 +327,20 @@
 #[gtest]
 fn server_reported_leaving_is_excluded_until_it_returns() {
     let mut table = table(&[server("a", "z1", 1)]);
-    let told = |revision, returned| LeavingNotice {
+    let leaving_notice = |revision, returned| LeavingNotice {
         server: server_key(&ServerId("a".into())),
         revision: ChangeMark(revision),
         returned,
     };
-    expect_that!(table.merge_leaving(at(0), told(5, false)), eq(true));
-    expect_that!(choose(&table, at(10), None, &[]), eq("nobody"));
-    table.merge_leaving(at(20), told(7, true));
+    expect_that!(table.merge_leaving(at(0), leaving_notice(5, false)), eq(true));
+    expect_that!(choose(&table, at(10), None, &[]), eq("unavailable"));
+    table.merge_leaving(at(20), leaving_notice(7, true));
     expect_that!(choose(&table, at(30), None, &[]), eq("a"));
     // A draining record applies for as long as it is stored, even after gossip state has expired.
     let draining = ServerRecord { draining: true, ..server("a", "z1", 1) };
     table.set(at(40), draining, ChangeMark(9));
     table.remove(at(100_000), &ServerId("other".into()), ChangeMark(10));
-    expect_that!(choose(&table, at(100_000), None, &[]), eq("nobody"));
+    expect_that!(choose(&table, at(100_000), None, &[]), eq("unavailable"));
 }
 
 #[gtest]
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -189,7 +189,7 @@
     let former = server("a", "z1", 1);
     let again = ServerRecord { address: former.address, ..server("b", "z1", 1) };
     let mut table = table(&[former.clone(), again]);
-    let told = changing(&former);
-    table.set_notices(&[(former.address, told)].into());
+    let agent_notice = changing(&former);
+    table.set_notices(&[(former.address, agent_notice)].into());
     expect_that!(table.drains(at(0), &BTreeMap::new()).len(), eq(2));
 }
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -55,11 +55,11 @@
     one.record_leaving(at(0), 7, mark(9));
     for second in 0..60 {
         let now = at(second * 1000);
-        for told in one.recent(now) {
-            other.merge(now, told);
+        for notice in one.recent(now) {
+            other.merge(now, notice);
         }
-        for told in other.recent(now) {
-            one.merge(now, told);
+        for notice in other.recent(now) {
+            one.merge(now, notice);
         }
     }
     expect_that!(one.recent(at(60_000)), is_empty());
@@ -73,9 +73,12 @@
     for server in 0..100 {
         servers.record_leaving(at(0), server, mark(u64::from(server) + 1));
     }
-    let told = servers.recent(at(0));
-    expect_that!(told.len(), eq(MAX_LEAVING_NOTICES));
-    expect_that!(told[0], eq(LeavingNotice { server: 99, revision: mark(100), returned: false }));
+    let notices = servers.recent(at(0));
+    expect_that!(notices.len(), eq(MAX_LEAVING_NOTICES));
+    expect_that!(
+        notices[0],
+        eq(LeavingNotice { server: 99, revision: mark(100), returned: false })
+    );
 }
 
 #[gtest]
@@ -84,13 +87,13 @@
     silent.record_ready(at(0), 7, mark(5));
     reads.record_ready(at(0), 7, mark(5));
     reads.record_leaving(at(100), 7, mark(9));
-    reads.recent(at(200)).into_iter().for_each(|told| {
-        silent.merge(at(200), told);
+    reads.recent(at(200)).into_iter().for_each(|notice| {
+        silent.merge(at(200), notice);
     });
     expect_that!(silent.is_leaving(7), eq(true));
     expect_that!(reads.record_ready(at(2000), 7, mark(12)), eq(true));
-    reads.recent(at(2100)).into_iter().for_each(|told| {
-        silent.merge(at(2100), told);
+    reads.recent(at(2100)).into_iter().for_each(|notice| {
+        silent.merge(at(2100), notice);
     });
     expect_that!(silent.is_leaving(7), eq(false));
     // Servers that never left are not gossiped.
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -79,12 +79,12 @@
             headlatch_core::direct::server_table::ServerChoice::Server(server) => {
                 server.id.to_string()
             }
-            _ => "nobody".to_owned(),
+            _ => "unavailable".to_owned(),
         }
     };
     expect_that!(chosen("llm"), eq("s00002"));
     expect_that!(chosen("other"), eq("s00001"));
-    expect_that!(chosen("third"), eq("nobody"));
+    expect_that!(chosen("third"), eq("unavailable"));
 }
 
 /// Counts the processes of a failure domain that read the store themselves in the first seconds after a start.
--- a/crates/core/tests/rate_limits.rs
+++ b/crates/core/tests/rate_limits.rs
@@ -136,8 +136,8 @@
 
     /// Gossips the most recent limit to all entries.
     fn gossip(&mut self) {
-        let heard = self.tables.iter().flat_map(|table| table.recent_limits(self.now));
-        let Some(newest) = heard.min_by_key(|notice| notice.age) else { return };
+        let notices = self.tables.iter().flat_map(|table| table.recent_limits(self.now));
+        let Some(newest) = notices.min_by_key(|notice| notice.age) else { return };
         for table in &mut self.tables {
             table.merge_limit(self.now, newest);
         }
@@ -271,9 +271,9 @@
     expect_that!(limits.limit(life), some(eq(limit)));
     expect_that!(limits.record(at(40), life, None, at(35)), eq(true));
     expect_that!(limits.wait(at(40), life), some(eq(Duration::ZERO)));
-    let told = |age| LimitNotice { life, limit: Some(limit), age: Duration::from_millis(age) };
-    expect_that!(limits.merge(at(60), told(30)), eq(false));
-    expect_that!(limits.merge(at(70), told(5)), eq(true));
+    let notice = |age| LimitNotice { life, limit: Some(limit), age: Duration::from_millis(age) };
+    expect_that!(limits.merge(at(60), notice(30)), eq(false));
+    expect_that!(limits.merge(at(70), notice(5)), eq(true));
     limits.forget(life);
     expect_that!(limits.wait(at(80), life), some(eq(Duration::ZERO)));
 }
@@ -288,8 +288,8 @@
     expect_that!(limits.recent(at(7000)), is_empty());
     // An entry that has just started does not know the age.
     let mut young = RateLimits::default();
-    let told = LimitNotice { life, limit: Some(limit), age: Duration::from_secs(3) };
-    expect_that!(young.merge(at(500), told), eq(true));
+    let notice = LimitNotice { life, limit: Some(limit), age: Duration::from_secs(3) };
+    expect_that!(young.merge(at(500), notice), eq(true));
     expect_that!(young.recent(at(600)), is_empty());
     expect_that!(young.limit(life), some(eq(limit)));
 }
