--- a/crates/bench/src/burst/baseline.rs
+++ b/crates/bench/src/burst/baseline.rs
@@ -7,7 +7,7 @@
 
 use clap::ValueEnum;
 use headlatch_core::{
-    burst::{ChunkSource, PeerKey, SwarmAction, SwarmEvent, SwarmNote, SwarmPlanner, SwarmPulse},
+    burst::{ChunkSource, PeerKey, PeerStatus, SwarmAction, SwarmEvent, SwarmNote, SwarmPlanner},
     time::Moment,
 };
 use headlatch_types::ChunkIndex;
@@ -28,7 +28,7 @@
     /// Chunks held.
     fn held(&self) -> u32;
     /// What it says with every note.
-    fn pulse(&self) -> SwarmPulse;
+    fn pulse(&self) -> PeerStatus;
     /// Memory that its state takes, without the chunks, in bytes.
     fn memory_bytes(&self) -> u64;
 }
@@ -42,8 +42,8 @@
         self.progress().held
     }
 
-    fn pulse(&self) -> SwarmPulse {
-        SwarmPlanner::pulse(self)
+    fn pulse(&self) -> PeerStatus {
+        SwarmPlanner::status(self)
     }
 
     fn memory_bytes(&self) -> u64 {
@@ -116,14 +116,16 @@
         }
         self.repeat_due = now + REPEAT_PAUSE;
         let note = || SwarmNote::Have(self.held.iter().copied().collect());
-        actions.extend(self.children.iter().map(|to| SwarmAction::Tell { to: *to, note: note() }));
+        actions
+            .extend(self.children.iter().map(|to| SwarmAction::SendNote { to: *to, note: note() }));
     }
 
     fn accept(&mut self, chunk: ChunkIndex, actions: &mut Vec<SwarmAction>) {
         self.open.remove(&chunk);
         self.held.insert(chunk);
         let note = || SwarmNote::Have(vec![chunk]);
-        actions.extend(self.children.iter().map(|to| SwarmAction::Tell { to: *to, note: note() }));
+        actions
+            .extend(self.children.iter().map(|to| SwarmAction::SendNote { to: *to, note: note() }));
         if self.held.len() == self.chunks as usize {
             actions.push(SwarmAction::Complete);
         }
@@ -135,11 +137,11 @@
         let mut actions = Vec::new();
         match event {
             SwarmEvent::Note { note: SwarmNote::Have(chunks), .. } => self.learn(chunks),
-            SwarmEvent::Asked { from, chunk, .. } => {
+            SwarmEvent::Requested { from, chunk, .. } => {
                 actions.push(SwarmAction::Grant { to: from, chunk });
             }
-            SwarmEvent::Turn { chunk, source } => {
-                actions.push(SwarmAction::Take { chunk, source });
+            SwarmEvent::Granted { chunk, source } => {
+                actions.push(SwarmAction::AcceptGrant { chunk, source });
             }
             SwarmEvent::Verified { chunk, .. } => self.accept(chunk, &mut actions),
             SwarmEvent::Tick => self.repeat(now, &mut actions),
@@ -157,8 +159,8 @@
         self.held.len() as u32
     }
 
-    fn pulse(&self) -> SwarmPulse {
-        SwarmPulse::default()
+    fn pulse(&self) -> PeerStatus {
+        PeerStatus::default()
     }
 
     fn memory_bytes(&self) -> u64 {
--- a/crates/bench/src/burst/world.rs
+++ b/crates/bench/src/burst/world.rs
@@ -7,8 +7,8 @@
 
 use headlatch_core::{
     burst::{
-        ChunkSet, ChunkSource, DrawOrder, FetchFailure, PeerKey, PeerSeat, SwarmAction, SwarmEvent,
-        SwarmNote, SwarmPace, SwarmPlanner, SwarmPulse, SwarmSettings, TICK,
+        ChunkSet, ChunkSource, DrawMode, FetchFailure, PeerKey, PeerLocation, PeerStatus,
+        SwarmAction, SwarmEvent, SwarmNote, SwarmPlanner, SwarmSettings, SwarmTimings, TICK,
     },
     time::Moment,
 };
@@ -68,7 +68,7 @@
 
 /// One box.
 pub(super) struct FakeBox {
-    pub(super) seat: PeerSeat,
+    pub(super) seat: PeerLocation,
     pub(super) domain: usize,
     pub(super) region: usize,
     pub(super) up: usize,
@@ -112,7 +112,7 @@
     Begin(usize),
     Tick(usize),
     Seats(usize),
-    Notes { to: usize, transfer: usize, from: PeerKey, notes: Vec<SwarmNote>, pulse: SwarmPulse },
+    Notes { to: usize, transfer: usize, from: PeerKey, notes: Vec<SwarmNote>, pulse: PeerStatus },
     Asked { at: usize, by: usize, transfer: usize, chunk: ChunkIndex, held: u32, fetch: u64 },
     Withdrawn { at: usize, by: usize, transfer: usize, chunk: ChunkIndex },
     Failed { at: usize, transfer: usize, chunk: ChunkIndex, fetch: u64, failure: FetchFailure },
@@ -236,7 +236,7 @@
             WorldEvent::Seats(nth) => self.reseat(now, nth),
             WorldEvent::Notes { to, transfer, from, notes, pulse } => {
                 for note in notes {
-                    self.handle(now, to, transfer, SwarmEvent::Note { from, note, pulse });
+                    self.handle(now, to, transfer, SwarmEvent::Note { from, note, status: pulse });
                 }
             }
             WorldEvent::Asked { at, by, transfer, chunk, held, fetch } => {
@@ -244,16 +244,16 @@
             }
             WorldEvent::Withdrawn { at, by, transfer, chunk } => {
                 let from = self.boxes[by].seat.key;
-                self.handle(now, at, transfer, SwarmEvent::Withdrawn { from, chunk });
+                self.handle(now, at, transfer, SwarmEvent::RequestCancelled { from, chunk });
             }
             WorldEvent::Failed { at, transfer, chunk, fetch, failure } => {
                 self.fail_fetch(now, at, (transfer, chunk), fetch, failure);
             }
             WorldEvent::Lost { at, transfer, peer } => {
-                self.handle(now, at, transfer, SwarmEvent::Lost(peer));
+                self.handle(now, at, transfer, SwarmEvent::PeerUnreachable(peer));
             }
             WorldEvent::Turn { at, transfer, chunk, source } => {
-                self.handle(now, at, transfer, SwarmEvent::Turn { chunk, source });
+                self.handle(now, at, transfer, SwarmEvent::Granted { chunk, source });
             }
             WorldEvent::Take { at, by, transfer, chunk } => {
                 let to = self.boxes[by].seat.key;
@@ -261,11 +261,11 @@
             }
             WorldEvent::Passed { at, by, transfer, chunk } => {
                 let from = self.boxes[by].seat.key;
-                self.handle(now, at, transfer, SwarmEvent::Passed { from, chunk });
+                self.handle(now, at, transfer, SwarmEvent::GrantDeferred { from, chunk });
             }
             WorldEvent::Resumed { at, by, transfer, chunk } => {
                 let from = self.boxes[by].seat.key;
-                self.handle(now, at, transfer, SwarmEvent::Resumed { from, chunk });
+                self.handle(now, at, transfer, SwarmEvent::GrantResumed { from, chunk });
             }
             WorldEvent::Block { flow, hop } => self.move_block(now, flow, hop),
             WorldEvent::Ack { flow } => self.send_block(now, flow),
@@ -313,14 +313,14 @@
         settings.neighbours = options.neighbours.unwrap_or(settings.neighbours);
         settings.queue = options.queue.unwrap_or(settings.queue);
         if options.short {
-            settings.draws = DrawOrder::Assigned;
-            settings.pace = SwarmPace::quick();
+            settings.draw_mode = DrawMode::Assigned;
+            settings.timings = SwarmTimings::short_burst();
         }
         settings
     }
 
     fn tick_pause(&self) -> Duration {
-        if self.options.short { SwarmPace::quick().tick } else { TICK }
+        if self.options.short { SwarmTimings::short_burst().tick } else { TICK }
     }
 
     fn seats_pause(&self) -> Duration {
@@ -348,7 +348,7 @@
         };
         self.boxes[nth].planners[transfer] = Some(planner);
         let seats = self.visible_seats(now, transfer);
-        self.handle(now, nth, transfer, SwarmEvent::Seats(seats));
+        self.handle(now, nth, transfer, SwarmEvent::Peers(seats));
     }
 
     pub(super) fn tick(&mut self, now: Moment, nth: usize) {
@@ -371,7 +371,7 @@
         let mut notes: Vec<(PeerKey, Vec<SwarmNote>)> = Vec::new();
         for action in actions {
             match action {
-                SwarmAction::Tell { to, note } => {
+                SwarmAction::SendNote { to, note } => {
                     match notes.iter_mut().find(|(key, _)| *key == to) {
                         Some((_, list)) => list.push(note),
                         None => notes.push((to, vec![note])),
--- a/crates/bench/src/burst/world/lives.rs
+++ b/crates/bench/src/burst/world/lives.rs
@@ -1,7 +1,7 @@
 //! Boxes that begin, join, pause and die, and who is seen to take part.
 
 use headlatch_core::{
-    burst::{PeerSeat, SwarmEvent},
+    burst::{PeerLocation, SwarmEvent},
     time::Moment,
 };
 use headlatch_types::ChunkIndex;
@@ -24,7 +24,7 @@
     }
 
     /// The boxes that take part in a transfer, as membership shows them now.
-    pub(super) fn visible_seats(&self, now: Moment, transfer: usize) -> Vec<PeerSeat> {
+    pub(super) fn visible_seats(&self, now: Moment, transfer: usize) -> Vec<PeerLocation> {
         let seen_until = self.faults.lag.map_or(Moment::ZERO, |lag| now - lag);
         let joined = |nth: &usize| self.faults.joins.iter().any(|(late, _)| late == nth);
         let mut visible: Vec<bool> = (0..self.boxes.len()).map(|nth| !joined(&nth)).collect();
@@ -58,7 +58,7 @@
         for transfer in 0..self.transfers.len() {
             if changed && self.boxes[nth].planners[transfer].is_some() {
                 let seats = self.visible_seats(now, transfer);
-                self.handle(now, nth, transfer, SwarmEvent::Seats(seats));
+                self.handle(now, nth, transfer, SwarmEvent::Peers(seats));
             }
         }
         self.queue.after(self.seats_pause(), WorldEvent::Seats(nth));
--- a/crates/bench/src/burst/world/messages.rs
+++ b/crates/bench/src/burst/world/messages.rs
@@ -1,7 +1,7 @@
 //! What boxes ask of each other and of origin and store, and what becomes of it.
 
 use headlatch_core::{
-    burst::{ChunkSource, FetchFailure, PeerKey, SwarmAction, SwarmEvent, SwarmNote, SwarmPulse},
+    burst::{ChunkSource, FetchFailure, PeerKey, PeerStatus, SwarmAction, SwarmEvent, SwarmNote},
     time::Moment,
 };
 use headlatch_types::ChunkIndex;
@@ -14,8 +14,11 @@
 fn note_bytes(note: &SwarmNote) -> u64 {
     match note {
         SwarmNote::Have(chunks) => 4 + 3 * chunks.len() as u64,
-        SwarmNote::Field(field) => 4 + u64::from(field.chunks().div_ceil(8)),
-        SwarmNote::Ticket(_) | SwarmNote::Took(_) | SwarmNote::Offer(_) | SwarmNote::Seek(_) => 8,
+        SwarmNote::Bitfield(field) => 4 + u64::from(field.chunks().div_ceil(8)),
+        SwarmNote::Ticket(_)
+        | SwarmNote::TicketReceived(_)
+        | SwarmNote::Offer(_)
+        | SwarmNote::Seek(_) => 8,
     }
 }
 
@@ -36,13 +39,13 @@
                 let event = WorldEvent::Turn { at, transfer, chunk, source };
                 self.queue.after(self.latency(nth, at), event);
             }
-            SwarmAction::Take { chunk, source: ChunkSource::Peer(from) } => {
+            SwarmAction::AcceptGrant { chunk, source: ChunkSource::Peer(from) } => {
                 self.step_back(nth, from, |at| WorldEvent::Take { at, by: nth, transfer, chunk });
             }
-            SwarmAction::Pass { chunk, source: ChunkSource::Peer(from) } => {
+            SwarmAction::DeferGrant { chunk, source: ChunkSource::Peer(from) } => {
                 self.step_back(nth, from, |at| WorldEvent::Passed { at, by: nth, transfer, chunk });
             }
-            SwarmAction::Resume { chunk, source: ChunkSource::Peer(from) } => {
+            SwarmAction::ResumeGrant { chunk, source: ChunkSource::Peer(from) } => {
                 self.step_back(nth, from, |at| WorldEvent::Resumed {
                     at,
                     by: nth,
@@ -50,12 +53,14 @@
                     chunk,
                 });
             }
-            SwarmAction::Take { .. } | SwarmAction::Pass { .. } | SwarmAction::Resume { .. } => {}
+            SwarmAction::AcceptGrant { .. }
+            | SwarmAction::DeferGrant { .. }
+            | SwarmAction::ResumeGrant { .. } => {}
             SwarmAction::Refuse { to, chunk, failure } => {
                 self.refuse(nth, transfer, to, chunk, failure);
             }
             SwarmAction::Complete => self.complete(now, nth),
-            SwarmAction::Tell { .. } => {}
+            SwarmAction::SendNote { .. } => {}
         }
     }
 
@@ -78,7 +83,7 @@
         transfer: usize,
         to: PeerKey,
         notes: Vec<SwarmNote>,
-        pulse: SwarmPulse,
+        pulse: PeerStatus,
     ) {
         let bytes = MESSAGE_BYTES + notes.iter().map(note_bytes).sum::<u64>();
         self.count_control(nth, bytes);
@@ -177,7 +182,7 @@
             return;
         }
         let from = self.boxes[by].seat.key;
-        self.handle(now, at, transfer, SwarmEvent::Asked { from, chunk, held });
+        self.handle(now, at, transfer, SwarmEvent::Requested { from, chunk, held });
     }
 
     pub(in crate::burst) fn refuse(
--- a/crates/bench/src/burst/world/setup.rs
+++ b/crates/bench/src/burst/world/setup.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use headlatch_core::{
-    burst::{PeerKey, PeerSeat},
+    burst::{PeerKey, PeerLocation},
     hash::score,
 };
 use headlatch_types::{digest::key_of, settings::LinkDuplex};
@@ -56,7 +56,7 @@
                 LinkDuplex::Shared => down,
             };
             let key = PeerKey(key_of(format!("box-{nth}").as_bytes()));
-            let seat = PeerSeat { key, domain: domain as u64, region: region as u64 };
+            let seat = PeerLocation { key, domain: domain as u64, region: region as u64 };
             self.index.insert(key, nth);
             let transfers = self.transfers.iter();
             let stored = transfers.map(|transfer| vec![None; transfer.contents.len()]).collect();
--- a/crates/core/src/burst/draw_window.rs
+++ b/crates/core/src/burst/draw_window.rs
@@ -12,22 +12,22 @@
 
 /// Most chunks drawn at the same time: enough to keep the link full until the news of chunks that have
 /// come has gone around.
-const MOST_CHUNKS: u32 = 24;
+const MAX_CHUNKS: u32 = 24;
 
 /// Fewest: a few drawn at once keep the link of an origin full that is back.
-const LEAST_CHUNKS: u32 = 8;
+const MIN_CHUNKS: u32 = 8;
 
 /// Chunks by which the window widens with each that comes.
 const GROWTH: u32 = 3;
 
 /// First pause after the origin refused or failed; it doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 
 /// Most doublings of that pause: an origin that is back must not wait for half a second more.
-const MOST_PAUSE_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Most doublings of the patience with a standstill.
-const MOST_PATIENCE_DOUBLINGS: u32 = 4;
+const MAX_STALL_DOUBLINGS: u32 = 4;
 
 /// The window as one box sees it, with how the origin has treated that box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 impl DrawWindow {
     /// The whole window.
     pub(super) fn new(now: Moment) -> Self {
-        Self { chunks: MOST_CHUNKS, progressed: now, failures: 0, has_failed: false, due: now }
+        Self { chunks: MAX_CHUNKS, progressed: now, failures: 0, has_failed: false, due: now }
     }
 
     /// Chunks that may be drawn at the same time.
@@ -66,14 +66,14 @@
     /// draw that failed: an origin that is down is asked by the drawers of the first chunks, and is not to be
     /// met by everybody else when it is back.
     pub(super) fn is_stalled(&self, now: Moment, patience: Duration) -> bool {
-        let doublings = self.failures.min(MOST_PATIENCE_DOUBLINGS);
+        let doublings = self.failures.min(MAX_STALL_DOUBLINGS);
         now.since(self.progressed) > patience * (1 << doublings)
     }
 
     /// A chunk has come, whoever has drawn it: the origin works.
     pub(super) fn note_arrival(&mut self, now: Moment) {
         self.progressed = now;
-        self.chunks = (self.chunks + GROWTH).min(MOST_CHUNKS);
+        self.chunks = (self.chunks + GROWTH).min(MAX_CHUNKS);
     }
 
     /// This box has drawn a chunk.
@@ -84,8 +84,8 @@
     /// The origin has refused or failed a draw.
     pub(super) fn note_failure(&mut self, now: Moment) {
         self.progressed = now;
-        self.chunks = (self.chunks / 2).max(LEAST_CHUNKS);
-        self.due = now + FIRST_PAUSE * (1 << self.failures.min(MOST_PAUSE_DOUBLINGS));
+        self.chunks = (self.chunks / 2).max(MIN_CHUNKS);
+        self.due = now + INITIAL_BACKOFF * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
         self.has_failed = true;
         self.failures += 1;
     }
--- a/crates/core/src/burst/draws.rs
+++ b/crates/core/src/burst/draws.rs
@@ -17,16 +17,16 @@
 pub(super) const ORIGIN_TICKETS: u32 = 6;
 
 /// Lane of a draw that makes up for a lost one; it ends with its chunk.
-pub(super) const LONE_LANE: u32 = u32::MAX;
+pub(super) const REPLACEMENT_LANE: u32 = u32::MAX;
 
 /// Tickets that a transfer begins with; more only keep the first chunks from coming soon.
 const FIRST_TICKETS: u32 = 2;
 
 /// First pause after the origin or the store refused or failed; it doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Clone, Copy)]
 struct HeldTicket {
@@ -35,17 +35,17 @@
 }
 
 /// How long a ticket's receipt is waited for before the ticket is handed over again.
-const RECEIPT_TIME: Duration = Duration::from_millis(400);
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a chunk whose ticket was received may stay unknown here, besides the time of the
 /// draws themselves, before the ticket is given to another box.
-const DRAW_TIME: Duration = Duration::from_secs(2);
+const DRAW_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Draws that may pass until news of a chunk has come around.
 const DRAWS_UNTIL_NEWS: u32 = 64;
 
 /// Times that one ticket is handed over.
-const MOST_HANDOVERS: u32 = 6;
+const MAX_HANDOVERS: u32 = 6;
 
 /// A ticket that was handed over, until its chunk is known to exist.
 #[derive(Debug, Clone)]
@@ -58,14 +58,14 @@
 
 /// A ticket to hand over once more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Reminder {
+pub(super) struct TicketResend {
     pub(super) ticket: DrawTicket,
     /// Boxes that had it and did not draw; the last one may just not have received it.
     pub(super) failed: Vec<PeerKey>,
     /// Whether the last of them should have it again.
     pub(super) again: bool,
     /// Whether nobody seems to be there to take it, as in a domain that is cut off.
-    pub(super) hopeless: bool,
+    pub(super) exhausted: bool,
 }
 
 /// Tickets that this box holds or has handed over.
@@ -87,7 +87,7 @@
     pub(super) fn take(&mut self, now: Moment, ticket: DrawTicket) {
         self.note_turn(now, ticket);
         if self.seen.insert(ticket) {
-            self.retake(now, ticket);
+            self.hold(now, ticket);
         }
     }
 
@@ -98,21 +98,21 @@
     }
 
     /// Takes a ticket that this box makes itself, in place of one that was lost.
-    pub(super) fn revive(&mut self, now: Moment, ticket: DrawTicket) {
-        if ticket.lane != LONE_LANE {
+    pub(super) fn replace_lost(&mut self, now: Moment, ticket: DrawTicket) {
+        if ticket.lane != REPLACEMENT_LANE {
             self.note_turn(now, ticket);
         }
-        self.retake(now, ticket);
+        self.hold(now, ticket);
     }
 
     /// Takes back a ticket that nobody else would have.
     pub(super) fn take_back(&mut self, now: Moment, ticket: DrawTicket) {
         self.handed.remove(&ticket);
-        self.retake(now, ticket);
+        self.hold(now, ticket);
     }
 
     /// Takes a ticket although it may have been here before.
-    fn retake(&mut self, now: Moment, ticket: DrawTicket) {
+    fn hold(&mut self, now: Moment, ticket: DrawTicket) {
         self.held.entry(ticket).or_insert(HeldTicket { not_before: now, failures: 0 });
     }
 
@@ -139,34 +139,34 @@
     }
 
     /// Chunks whose tickets were handed over and are not known to have come.
-    pub(super) fn handed(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
+    pub(super) fn handed_over(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.handed.keys().map(|ticket| ticket.chunk)
     }
 
     /// Tickets that have to be handed over once more.
-    pub(super) fn reminders(
+    pub(super) fn due_resends(
         &mut self,
         now: Moment,
         draw_time: Duration,
         is_known: impl Fn(ChunkIndex) -> bool,
-    ) -> Vec<Reminder> {
+    ) -> Vec<TicketResend> {
         self.handed.retain(|ticket, _| !is_known(ticket.chunk));
         let patience = |one: &Handover| match one.received {
-            true => DRAW_TIME + draw_time * DRAWS_UNTIL_NEWS,
-            false => RECEIPT_TIME,
+            true => DRAW_TIMEOUT + draw_time * DRAWS_UNTIL_NEWS,
+            false => RECEIPT_TIMEOUT,
         };
         let due = self.handed.iter().filter(|(_, one)| now.since(one.since) >= patience(one));
-        due.map(|(ticket, one)| Reminder {
+        due.map(|(ticket, one)| TicketResend {
             ticket: *ticket,
             failed: one.to.clone(),
             again: !one.received && one.tries % 2 == 1,
-            hopeless: one.tries >= MOST_HANDOVERS,
+            exhausted: one.tries >= MAX_HANDOVERS,
         })
         .collect()
     }
 
     /// Gives a ticket up, to be passed on; false if it was not held.
-    pub(super) fn give(&mut self, ticket: DrawTicket) -> bool {
+    pub(super) fn release(&mut self, ticket: DrawTicket) -> bool {
         self.held.remove(&ticket).is_some()
     }
 
@@ -184,7 +184,7 @@
     pub(super) fn postpone(&mut self, now: Moment, chunk: ChunkIndex, pool: DrawPool) {
         let tickets = self.held.iter_mut();
         for (_, held) in tickets.filter(|(one, _)| one.chunk == chunk && one.pool == pool) {
-            let pause = FIRST_PAUSE.saturating_mul(1 << held.failures.min(6)).min(LONGEST_PAUSE);
+            let pause = INITIAL_BACKOFF.saturating_mul(1 << held.failures.min(6)).min(MAX_BACKOFF);
             held.not_before = now + pause;
             held.failures += 1;
         }
@@ -234,7 +234,7 @@
     /// The ticket after `ticket` in its pool's order, if there is one.
     pub(super) fn next(ticket: DrawTicket, chunks: u32) -> Option<DrawTicket> {
         let chunk = match ticket.pool {
-            _ if ticket.lane == LONE_LANE => None,
+            _ if ticket.lane == REPLACEMENT_LANE => None,
             DrawPool::Origin => Some(ticket.chunk.0 + 1).filter(|chunk| *chunk < chunks),
             DrawPool::Store => ticket.chunk.0.checked_sub(1),
         }?;
@@ -242,7 +242,7 @@
     }
 
     /// The further ticket that the end of an early draw sets off, until all are on their way.
-    pub(super) fn multiply(ticket: DrawTicket, chunks: u32) -> Option<DrawTicket> {
+    pub(super) fn add_lane(ticket: DrawTicket, chunks: u32) -> Option<DrawTicket> {
         let lane = ticket.lane.saturating_add(FIRST_TICKETS);
         let chunk = ticket.chunk.0 + FIRST_TICKETS;
         let early = ticket.pool == DrawPool::Origin && ticket.chunk.0 == ticket.lane;
--- a/crates/core/src/burst/pursuit.rs
+++ b/crates/core/src/burst/fetching.rs
@@ -4,8 +4,8 @@
 use rand::{Rng, seq::IteratorRandom};
 
 use super::{
-    ChunkSource, DrawOrder, DrawPool, DrawTicket, SwarmAction, SwarmPlanner,
-    draws::{DrawLedger, LONE_LANE},
+    ChunkSource, DrawMode, DrawPool, DrawTicket, SwarmAction, SwarmPlanner,
+    draws::{DrawLedger, REPLACEMENT_LANE},
     peers::AskLimits,
     planner::OpenFetch,
 };
@@ -18,23 +18,23 @@
 pub(super) const RATE_CHUNKS: usize = 32;
 
 /// A box that gets less than this part of what its link could carry may draw extra chunks.
-const UNDERFED_PERCENT: usize = 85;
+const UNDERUTILIZED_PERCENT: usize = 85;
 
 /// Assigned chunks that are drawn at the same time while the origin keeps its rate.
 pub(super) const DRAWS_AT_ONCE: u32 = 8;
 
 /// Copies that may leave the origin under [`BurstPreference::Time`].
-const MOST_COPIES: u32 = 4;
+const MAX_ORIGIN_COPIES: u32 = 4;
 
 impl SwarmPlanner {
     /// Starts whatever can be started now.
-    pub(super) fn pursue(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
+    pub(super) fn start_fetches(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         if self.superseded {
             return;
         }
-        match self.settings.draws {
-            DrawOrder::Tickets => self.use_tickets(now, actions),
-            DrawOrder::Assigned => self.draw_assigned(now, actions),
+        match self.settings.draw_mode {
+            DrawMode::Tickets => self.use_tickets(now, actions),
+            DrawMode::Assigned => self.draw_assigned(now, actions),
         }
         if self.complete {
             return;
@@ -47,7 +47,7 @@
 
     pub(super) fn is_known(&self, now: Moment, chunk: ChunkIndex) -> bool {
         self.held.contains(chunk)
-            || self.peers.is_near(now, chunk)
+            || self.peers.is_held_nearby(now, chunk)
             || self.imports.is_offered(chunk)
     }
 
@@ -62,7 +62,7 @@
             if open == Some(source) && !drawing.contains(&ticket.chunk) {
                 drawing.push(ticket.chunk);
             } else if open.is_some() || self.is_known(now, ticket.chunk) {
-                self.pass_on(now, ticket, actions);
+                self.forward_ticket(now, ticket, actions);
             } else if ready {
                 drawing.push(ticket.chunk);
                 self.fetch(now, ticket.chunk, source, actions);
@@ -91,7 +91,7 @@
 
     /// The first chunk that falls to this box and may be drawn now.
     fn next_assigned(&self, now: Moment) -> Option<ChunkIndex> {
-        let own = self.seats.me().key;
+        let own = self.topology.local().key;
         let missing = (0..self.settings.chunks).map(ChunkIndex).filter(|chunk| {
             !self.held.contains(*chunk)
                 && !self.open.contains_key(chunk)
@@ -99,7 +99,7 @@
         });
         let is_due = |chunk: &ChunkIndex| now >= self.draw_slot(*chunk);
         let mut due = self.within_window(missing).take_while(is_due);
-        due.find(|chunk| self.seats.drawer(*chunk) == own)
+        due.find(|chunk| self.topology.drawer(*chunk) == own)
     }
 
     /// Those of the missing chunks that all boxes together may draw now. Chunks that are overdue take no
@@ -121,38 +121,38 @@
     /// come soon and spread while the others are drawn. Once the origin has failed the window alone tells.
     pub(super) fn draw_slot(&self, chunk: ChunkIndex) -> Moment {
         if self.window.has_failed() {
-            return self.begun;
+            return self.started;
         }
-        self.begun + self.settings.origin_chunk_time * chunk.0.saturating_sub(DRAWS_AT_ONCE)
+        self.started + self.settings.origin_chunk_time * chunk.0.saturating_sub(DRAWS_AT_ONCE)
     }
 
     /// Hands a ticket to the drawer of the next chunk that is not known to be drawn.
-    pub(super) fn pass_on(
+    pub(super) fn forward_ticket(
         &mut self,
         now: Moment,
         ticket: DrawTicket,
         actions: &mut Vec<SwarmAction>,
     ) {
-        if !self.draws.give(ticket) {
+        if !self.draws.release(ticket) {
             return;
         }
         let chunks = self.settings.chunks;
-        if let Some(extra) = DrawLedger::multiply(ticket, chunks) {
-            self.give_ticket(now, extra, self.seats.drawer(extra.chunk), actions);
+        if let Some(extra) = DrawLedger::add_lane(ticket, chunks) {
+            self.send_ticket(now, extra, self.topology.drawer(extra.chunk), actions);
         }
         let order = std::iter::successors(DrawLedger::next(ticket, chunks), |ticket| {
             DrawLedger::next(*ticket, chunks)
         });
         let next = order.into_iter().find(|ticket| !self.is_known(now, ticket.chunk));
         let Some(next) = next else {
-            if ticket.pool == DrawPool::Origin && ticket.lane != LONE_LANE {
+            if ticket.pool == DrawPool::Origin && ticket.lane != REPLACEMENT_LANE {
                 self.draws.advance(now, chunks);
             }
             return;
         };
-        let drawer = self.seats.drawer(next.chunk);
-        self.give_ticket(now, next, drawer, actions);
-        if drawer == self.seats.me().key {
+        let drawer = self.topology.drawer(next.chunk);
+        self.send_ticket(now, next, drawer, actions);
+        if drawer == self.topology.local().key {
             self.use_tickets(now, actions);
         }
     }
@@ -161,7 +161,9 @@
         loop {
             let (held, open, peers) = (&self.held, &self.open, &self.peers);
             let wanted = |chunk: ChunkIndex| {
-                !held.contains(chunk) && !open.contains_key(&chunk) && !peers.is_near(now, chunk)
+                !held.contains(chunk)
+                    && !open.contains_key(&chunk)
+                    && !peers.is_held_nearby(now, chunk)
             };
             let Some((chunk, from)) = self.imports.accept(wanted) else { return };
             self.fetch(now, chunk, ChunkSource::Peer(from), actions);
@@ -171,8 +173,8 @@
     pub(super) fn use_neighbours(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         let limits = AskLimits { asked: 2, load: self.settings.queue as u32 };
         while self.open.len() < self.settings.pipeline {
-            let on_offer = self.peers.on_offer(now, limits);
-            let Some(chunk) = self.rarest(&on_offer) else { return };
+            let available = self.peers.available(now, limits);
+            let Some(chunk) = self.rarest(&available) else { return };
             let Some(peer) = self.peers.pick(now, chunk, limits, &mut self.rng) else { return };
             self.fetch(now, chunk, ChunkSource::Peer(peer), actions);
         }
@@ -182,9 +184,9 @@
     ///
     /// The rarest of all would send every box of a domain to the one or two that hold it, while
     /// the others have nothing to send.
-    pub(super) fn rarest(&mut self, on_offer: &[u64]) -> Option<ChunkIndex> {
+    pub(super) fn rarest(&mut self, available: &[u64]) -> Option<ChunkIndex> {
         let open = &self.open;
-        let candidates = self.held.missing_in(on_offer).filter(|chunk| !open.contains_key(chunk));
+        let candidates = self.held.missing_in(available).filter(|chunk| !open.contains_key(chunk));
         let sample = candidates.choose_multiple(&mut self.rng, SAMPLE);
         sample.into_iter().min_by_key(|chunk| self.peers.copies(*chunk))
     }
@@ -195,11 +197,11 @@
     /// for a further source, so that this costs nothing where it would gain nothing.
     pub(super) fn use_extras(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         let drawn = self.draws.drawn() >= self.settings.chunks;
-        if self.settings.prefer != BurstPreference::Time || !drawn || !self.is_underfed(now) {
+        if self.settings.prefer != BurstPreference::Time || !drawn || !self.is_underutilized(now) {
             return;
         }
-        let boxes = self.seats.count() as u32;
-        let most = (MOST_COPIES - 1) * self.settings.chunks / boxes;
+        let boxes = self.topology.count() as u32;
+        let most = (MAX_ORIGIN_COPIES - 1) * self.settings.chunks / boxes;
         let gap = self.settings.origin_chunk_time * boxes;
         if !self.draws.is_extra_due(now, most) {
             return;
@@ -218,13 +220,13 @@
     }
 
     /// Whether chunks have lately come in clearly more slowly than this box's link could carry.
-    pub(super) fn is_underfed(&self, now: Moment) -> bool {
+    pub(super) fn is_underutilized(&self, now: Moment) -> bool {
         let window = self.settings.chunk_time * RATE_CHUNKS as u32;
-        if now.since(self.begun) < window * 2 {
+        if now.since(self.started) < window * 2 {
             return false;
         }
         let lately = self.arrivals.iter().filter(|at| now.since(**at) < window).count();
-        lately * 100 < RATE_CHUNKS * UNDERFED_PERCENT
+        lately * 100 < RATE_CHUNKS * UNDERUTILIZED_PERCENT
     }
 
     pub(super) fn fetch(
@@ -235,9 +237,9 @@
         actions: &mut Vec<SwarmAction>,
     ) {
         if let ChunkSource::Peer(peer) = source {
-            self.peers.ask(peer);
+            self.peers.note_request(peer);
         }
-        self.open.insert(chunk, OpenFetch { source, asked: now, started: None, passed: false });
+        self.open.insert(chunk, OpenFetch { source, asked: now, started: None, deferred: false });
         actions.push(SwarmAction::Fetch { chunk, source });
     }
 }
--- a/crates/core/src/burst/imports.rs
+++ b/crates/core/src/burst/imports.rs
@@ -7,7 +7,7 @@
 
 use headlatch_types::ChunkIndex;
 
-use super::{PeerKey, SeatMap, SwarmPace};
+use super::{PeerKey, PeerTopology, SwarmTimings};
 use crate::time::Moment;
 
 /// Chunks that may have to go out before one that is to be imported.
@@ -17,19 +17,19 @@
 #[derive(Debug, Clone, Copy)]
 struct Overdue {
     since: Moment,
-    sought: Option<Moment>,
+    last_sought: Option<Moment>,
 }
 
 /// What is to be done about an overdue chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Remedy {
+pub(super) enum Recovery {
     /// Ask other domains.
     Seek(ChunkIndex),
     /// Draw it, whoever should have.
     Draw(ChunkIndex),
 }
 
-impl Remedy {
+impl Recovery {
     /// The chunk that is lacking.
     pub(super) fn chunk(self) -> ChunkIndex {
         match self {
@@ -40,21 +40,22 @@
 
 /// Offers at hand and chunks overdue.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ImportDesk {
+pub(super) struct ImportTracker {
     offers: BTreeMap<ChunkIndex, VecDeque<PeerKey>>,
     /// This box's rank for every chunk, and its domain's. All boxes of a domain answer for a chunk,
     /// one after the other: any number of those before this one may never begin.
-    duties: Vec<(ChunkIndex, usize, usize)>,
+    assignments: Vec<(ChunkIndex, usize, usize)>,
     overdue: BTreeMap<ChunkIndex, Overdue>,
     /// Boxes that look for a chunk which this box does not hold yet.
     seekers: BTreeMap<ChunkIndex, BTreeSet<PeerKey>>,
 }
 
-impl ImportDesk {
+impl ImportTracker {
     /// Works out anew after how many others this box answers for each chunk.
-    pub(super) fn assign(&mut self, seats: &SeatMap, chunks: u32) {
-        let duty = |chunk| (chunk, seats.importer_rank(chunk), seats.domain_rank(chunk));
-        self.duties = (0..chunks).map(ChunkIndex).map(duty).collect();
+    pub(super) fn assign(&mut self, topology: &PeerTopology, chunks: u32) {
+        let assignment =
+            |chunk| (chunk, topology.importer_rank(chunk), topology.domain_rank(chunk));
+        self.assignments = (0..chunks).map(ChunkIndex).map(assignment).collect();
     }
 
     /// Takes in an offer.
@@ -98,7 +99,7 @@
     }
 
     /// The chunk has come: forgets it and returns who was looking for it.
-    pub(super) fn settle(&mut self, chunk: ChunkIndex) -> BTreeSet<PeerKey> {
+    pub(super) fn resolve(&mut self, chunk: ChunkIndex) -> BTreeSet<PeerKey> {
         self.offers.remove(&chunk);
         self.overdue.remove(&chunk);
         self.seekers.remove(&chunk).unwrap_or_default()
@@ -106,7 +107,7 @@
 
     /// After how many others of its domain this box answers for a chunk.
     pub(super) fn rank(&self, chunk: ChunkIndex) -> usize {
-        self.duties.get(chunk.0 as usize).map_or(0, |(_, rank, _)| *rank)
+        self.assignments.get(chunk.0 as usize).map_or(0, |(_, rank, _)| *rank)
     }
 
     /// Whether a chunk is lacking although others should have it.
@@ -116,37 +117,37 @@
 
     /// Counts the time for which chunks are lacking anew: the origin has failed this box, and may have
     /// failed those that should have drawn them.
-    pub(super) fn wait_anew(&mut self, now: Moment) {
+    pub(super) fn restart_waits(&mut self, now: Moment) {
         self.overdue.values_mut().for_each(|overdue| overdue.since = now);
     }
 
     /// Remedies that are due, for chunks that `lacking` reports as overdue in this domain.
-    pub(super) fn remedies(
+    pub(super) fn due_recoveries(
         &mut self,
         now: Moment,
-        (chunk_time, draw_patience): (Duration, Duration),
-        pace: SwarmPace,
-        lacking: impl Fn(ChunkIndex) -> bool,
-    ) -> Vec<Remedy> {
+        (chunk_time, redraw_delay): (Duration, Duration),
+        timings: SwarmTimings,
+        is_missing: impl Fn(ChunkIndex) -> bool,
+    ) -> Vec<Recovery> {
         let mut due = Vec::new();
         let others = chunk_time * CHUNKS_BEFORE;
-        for (chunk, rank, domain_rank) in &self.duties {
-            if !lacking(*chunk) {
+        for (chunk, rank, domain_rank) in &self.assignments {
+            if !is_missing(*chunk) {
                 self.overdue.remove(chunk);
                 continue;
             }
-            let fresh = Overdue { since: now, sought: None };
+            let fresh = Overdue { since: now, last_sought: None };
             let overdue = self.overdue.entry(*chunk).or_insert(fresh);
             let waited = now.since(overdue.since);
-            let own_turn = (pace.rank_patience + others) * *rank as u32;
-            let domain_turn = draw_patience * (*domain_rank as u32 + 1);
+            let own_turn = (timings.rank_timeout + others) * *rank as u32;
+            let domain_turn = redraw_delay * (*domain_rank as u32 + 1);
             if waited >= own_turn + others + domain_turn {
-                due.push(Remedy::Draw(*chunk));
-            } else if waited >= own_turn + others + pace.seek_patience
-                && overdue.sought.is_none_or(|at| now.since(at) >= pace.seek_pause)
+                due.push(Recovery::Draw(*chunk));
+            } else if waited >= own_turn + others + timings.seek_delay
+                && overdue.last_sought.is_none_or(|at| now.since(at) >= timings.seek_interval)
             {
-                overdue.sought = Some(now);
-                due.push(Remedy::Seek(*chunk));
+                overdue.last_sought = Some(now);
+                due.push(Recovery::Seek(*chunk));
             }
         }
         due
--- a/crates/core/src/burst/mod.rs
+++ b/crates/core/src/burst/mod.rs
@@ -7,12 +7,12 @@
 mod chunks;
 mod draw_window;
 mod draws;
+mod fetching;
 mod imports;
+mod maintenance;
 mod peers;
 mod planner;
-mod pursuit;
-mod seats;
-mod upkeep;
+mod topology;
 mod uploads;
 
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 pub use chunks::ChunkSet;
 pub use planner::{SwarmPlanner, SwarmProgress};
-pub use seats::{PeerKey, PeerSeat, SeatMap};
+pub use topology::{PeerKey, PeerLocation, PeerTopology};
 
 /// Where a chunk is fetched from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -49,7 +49,7 @@
 
 /// What a box says of itself with every note.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SwarmPulse {
+pub struct PeerStatus {
     /// Requests that wait at it.
     pub queue: u32,
     /// Chunks that have had their turn to be drawn from the origin, as far as it knows.
@@ -62,11 +62,11 @@
     /// The sender holds these chunks as well.
     Have(Vec<ChunkIndex>),
     /// All chunks that the sender holds.
-    Field(ChunkSet),
+    Bitfield(ChunkSet),
     /// The receiver may draw the chunk at this position from this source.
     Ticket(DrawTicket),
     /// The sender has received this ticket.
-    Took(DrawTicket),
+    TicketReceived(DrawTicket),
     /// The sender holds this chunk, which the receiver should bring into its domain.
     Offer(ChunkIndex),
     /// The sender's domain lacks this chunk; whoever holds it should offer it.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwarmEvent {
     /// The boxes that take part, this one among them, as far as is known.
-    Seats(Vec<PeerSeat>),
+    Peers(Vec<PeerLocation>),
     /// A note came.
     Note {
         /// Who sent it.
@@ -118,10 +118,10 @@
         /// What it says.
         note: SwarmNote,
         /// What the sender says besides.
-        pulse: SwarmPulse,
+        status: PeerStatus,
     },
     /// A box asks for a chunk.
-    Asked {
+    Requested {
         /// Who asks.
         from: PeerKey,
         /// For what.
@@ -130,21 +130,21 @@
         held: u32,
     },
     /// A box no longer wants what it asked for.
-    Withdrawn {
+    RequestCancelled {
         /// Who asked.
         from: PeerKey,
         /// For what.
         chunk: ChunkIndex,
     },
     /// A box that was granted a chunk has no room for it now.
-    Passed {
+    GrantDeferred {
         /// Who asked.
         from: PeerKey,
         /// For what.
         chunk: ChunkIndex,
     },
     /// A box that passed has room again.
-    Resumed {
+    GrantResumed {
         /// Who asked.
         from: PeerKey,
         /// For what.
@@ -158,7 +158,7 @@
         chunk: ChunkIndex,
     },
     /// A box is ready to send a chunk that was asked of it.
-    Turn {
+    Granted {
         /// The chunk.
         chunk: ChunkIndex,
         /// Its source.
@@ -181,7 +181,7 @@
         failure: FetchFailure,
     },
     /// A box could not be reached with a note.
-    Lost(PeerKey),
+    PeerUnreachable(PeerKey),
     /// Another version is wanted now: nothing more is fetched, and what is here is still sent.
     Superseded,
     /// Some time has passed; due about every [`TICK`].
@@ -209,21 +209,21 @@
         source: ChunkSource,
     },
     /// Let a box begin to send a chunk whose turn has come.
-    Take {
+    AcceptGrant {
         /// The chunk.
         chunk: ChunkIndex,
         /// From where.
         source: ChunkSource,
     },
     /// Let a box know that there is no room for a chunk whose turn has come.
-    Pass {
+    DeferGrant {
         /// The chunk.
         chunk: ChunkIndex,
         /// From where.
         source: ChunkSource,
     },
     /// Let a box know that there is room again for a chunk that was passed.
-    Resume {
+    ResumeGrant {
         /// The chunk.
         chunk: ChunkIndex,
         /// From where.
@@ -246,7 +246,7 @@
         failure: FetchFailure,
     },
     /// Hand over a note.
-    Tell {
+    SendNote {
         /// To whom.
         to: PeerKey,
         /// What.
@@ -258,7 +258,7 @@
 
 /// How boxes come to draw chunks from the origin.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum DrawOrder {
+pub enum DrawMode {
     /// A few tickets travel from drawer to drawer: for more boxes than the origin could serve at
     /// once.
     #[default]
@@ -270,62 +270,62 @@
 
 /// Pauses and patience of a planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SwarmPace {
+pub struct SwarmTimings {
     /// How often the planner wants [`SwarmEvent::Tick`].
     pub tick: Duration,
     /// How often the whole field is sent again, against lost notes.
-    pub field_pause: Duration,
+    pub bitfield_interval: Duration,
     /// How long fresh chunks wait to be told of together.
-    pub have_pause: Duration,
+    pub announce_interval: Duration,
     /// Added to every limit on waiting, whatever the chunk's size.
-    pub least_wait: Duration,
+    pub min_timeout: Duration,
     /// How long a box waits for each rank above it, besides the time that chunks take.
-    pub rank_patience: Duration,
+    pub rank_timeout: Duration,
     /// How long the lack of a chunk is borne before it is looked for elsewhere, besides the time
     /// that chunks take.
-    pub seek_patience: Duration,
+    pub seek_delay: Duration,
     /// Pause between two searches for the same chunk.
-    pub seek_pause: Duration,
+    pub seek_interval: Duration,
     /// How long a domain bears the lack of a chunk before it draws it again; by the preference if
     /// none.
-    pub draw_patience: Option<Duration>,
+    pub redraw_delay: Option<Duration>,
     /// A box that says nothing for this long may be gone: what only it holds counts as lacking.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// First pause after a box proved slow or out of reach; it doubles each time.
-    pub trouble_pause: Duration,
+    pub initial_backoff: Duration,
 }
 
-impl Default for SwarmPace {
+impl Default for SwarmTimings {
     fn default() -> Self {
         Self {
             tick: TICK,
-            field_pause: Duration::from_secs(5),
-            have_pause: Duration::from_millis(200),
-            least_wait: Duration::from_secs(2),
-            rank_patience: Duration::from_secs(1),
-            seek_patience: Duration::from_secs(1),
-            seek_pause: Duration::from_secs(2),
-            draw_patience: None,
-            silence: Duration::from_secs(8),
-            trouble_pause: Duration::from_secs(2),
+            bitfield_interval: Duration::from_secs(5),
+            announce_interval: Duration::from_millis(200),
+            min_timeout: Duration::from_secs(2),
+            rank_timeout: Duration::from_secs(1),
+            seek_delay: Duration::from_secs(1),
+            seek_interval: Duration::from_secs(2),
+            redraw_delay: None,
+            silence_timeout: Duration::from_secs(8),
+            initial_backoff: Duration::from_secs(2),
         }
     }
 }
 
-impl SwarmPace {
+impl SwarmTimings {
     /// The pace of bursts that last a few seconds.
-    pub fn quick() -> Self {
+    pub fn short_burst() -> Self {
         Self {
             tick: Duration::from_millis(50),
-            field_pause: Duration::from_millis(250),
-            have_pause: Duration::from_millis(50),
-            least_wait: Duration::from_millis(500),
-            rank_patience: Duration::from_millis(200),
-            seek_patience: Duration::from_millis(200),
-            seek_pause: Duration::from_millis(500),
-            draw_patience: Some(Duration::from_millis(250)),
-            silence: Duration::from_millis(1200),
-            trouble_pause: Duration::from_millis(400),
+            bitfield_interval: Duration::from_millis(250),
+            announce_interval: Duration::from_millis(50),
+            min_timeout: Duration::from_millis(500),
+            rank_timeout: Duration::from_millis(200),
+            seek_delay: Duration::from_millis(200),
+            seek_interval: Duration::from_millis(500),
+            redraw_delay: Some(Duration::from_millis(250)),
+            silence_timeout: Duration::from_millis(1200),
+            initial_backoff: Duration::from_millis(400),
         }
     }
 }
@@ -356,9 +356,9 @@
     /// Seed of every random choice.
     pub seed: u64,
     /// How chunks are drawn from the origin.
-    pub draws: DrawOrder,
+    pub draw_mode: DrawMode,
     /// Pauses and patience.
-    pub pace: SwarmPace,
+    pub timings: SwarmTimings,
 }
 
 impl SwarmSettings {
@@ -376,8 +376,8 @@
             neighbours: 24,
             queue: 8,
             seed: 0,
-            draws: DrawOrder::default(),
-            pace: SwarmPace::default(),
+            draw_mode: DrawMode::default(),
+            timings: SwarmTimings::default(),
         }
     }
 }
--- a/crates/core/src/burst/peers.rs
+++ b/crates/core/src/burst/peers.rs
@@ -5,20 +5,20 @@
 use headlatch_types::ChunkIndex;
 use rand::{Rng, rngs::SmallRng};
 
-use super::{ChunkSet, PeerKey, SwarmPace};
+use super::{ChunkSet, PeerKey, SwarmTimings};
 use crate::time::Moment;
 
 /// Corrupt chunks after which a box is not asked again, if it has not sent many good ones.
-const MOST_STRIKES: u32 = 2;
+const MAX_CORRUPT_CHUNKS: u32 = 2;
 
 /// Good chunks that make up for a corrupt one: links spoil a chunk now and then.
-const GOOD_FOR_A_STRIKE: u32 = 8;
+const VALID_PER_CORRUPT_CHUNK: u32 = 8;
 
 /// Longest pause after a box proved slow or out of reach, as a multiple of the first.
-const LONGEST_PAUSE: u32 = 15;
+const MAX_BACKOFF_FACTOR: u32 = 15;
 
 /// Pause after a box said that it is busy.
-const BUSY_PAUSE: Duration = Duration::from_millis(60);
+const BUSY_BACKOFF: Duration = Duration::from_millis(60);
 
 /// With more copies than this, one of them is surely at a box that lives.
 const MANY_COPIES: u32 = 4;
@@ -31,10 +31,10 @@
     asked: u32,
     /// Requests that waited at it when it last said so.
     queue: u32,
-    heard: Moment,
-    strikes: u32,
-    good: u32,
-    troubles: u32,
+    last_heard: Moment,
+    corrupt_chunks: u32,
+    valid_chunks: u32,
+    failures: u32,
     paused_until: Moment,
 }
 
@@ -49,7 +49,7 @@
     }
 
     fn is_heard(&self, now: Moment, silence: Duration) -> bool {
-        now.since(self.heard) < silence
+        now.since(self.last_heard) < silence
     }
 
     fn load(&self) -> u32 {
@@ -57,7 +57,8 @@
     }
 
     fn is_corrupter(&self) -> bool {
-        self.strikes >= MOST_STRIKES && self.strikes * GOOD_FOR_A_STRIKE > self.good
+        self.corrupt_chunks >= MAX_CORRUPT_CHUNKS
+            && self.corrupt_chunks * VALID_PER_CORRUPT_CHUNK > self.valid_chunks
     }
 }
 
@@ -68,7 +69,7 @@
     /// A box that says nothing for this long may be gone.
     silence: Duration,
     /// First pause after a box proved slow or out of reach; it doubles each time.
-    first_pause: Duration,
+    initial_backoff: Duration,
     peers: Vec<PeerState>,
     index: HashMap<PeerKey, usize>,
     /// Neighbours that hold each chunk.
@@ -78,11 +79,11 @@
 }
 
 impl PeerTable {
-    pub(super) fn new(chunks: u32, pace: SwarmPace) -> Self {
+    pub(super) fn new(chunks: u32, timings: SwarmTimings) -> Self {
         Self {
             chunks,
-            silence: pace.silence,
-            first_pause: pace.trouble_pause,
+            silence: timings.silence_timeout,
+            initial_backoff: timings.initial_backoff,
             peers: Vec::new(),
             index: HashMap::new(),
             copies: vec![0; chunks as usize],
@@ -109,10 +110,10 @@
             held: ChunkSet::new(self.chunks),
             asked: 0,
             queue: 0,
-            heard: Moment::ZERO,
-            strikes: 0,
-            good: 0,
-            troubles: 0,
+            last_heard: Moment::ZERO,
+            corrupt_chunks: 0,
+            valid_chunks: 0,
+            failures: 0,
             paused_until: Moment::ZERO,
         });
     }
@@ -156,7 +157,7 @@
     /// Whether some neighbour that has been heard of lately holds `chunk`.
     ///
     /// What a box held that has gone silent may be out of reach for good.
-    pub(super) fn is_near(&self, now: Moment, chunk: ChunkIndex) -> bool {
+    pub(super) fn is_held_nearby(&self, now: Moment, chunk: ChunkIndex) -> bool {
         let copies = self.copies(chunk);
         if copies == 0 || copies > MANY_COPIES {
             return copies > 0;
@@ -167,15 +168,15 @@
     }
 
     /// A box has said something, with the length of its queue; one that was silent is back.
-    pub(super) fn hear(&mut self, now: Moment, key: PeerKey, queue: u32) {
+    pub(super) fn note_message(&mut self, now: Moment, key: PeerKey, queue: u32) {
         let silence = self.silence;
         if let Some(peer) = self.get_mut(key) {
             if !peer.is_heard(now, silence) {
-                peer.troubles = 0;
+                peer.failures = 0;
                 peer.paused_until = now;
             }
             peer.queue = queue;
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
@@ -218,44 +219,44 @@
     }
 
     /// A chunk was asked of a box.
-    pub(super) fn ask(&mut self, key: PeerKey) {
+    pub(super) fn note_request(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked += 1;
         }
     }
 
     /// A request to a box has ended.
-    pub(super) fn end(&mut self, key: PeerKey) {
+    pub(super) fn note_request_end(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked = peer.asked.saturating_sub(1);
         }
     }
 
     /// A box has sent a good chunk.
-    pub(super) fn praise(&mut self, key: PeerKey) {
+    pub(super) fn note_valid_chunk(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
-            peer.troubles = 0;
-            peer.good += 1;
+            peer.failures = 0;
+            peer.valid_chunks += 1;
         }
     }
 
     /// A box is busy; it is left alone for a moment.
     pub(super) fn note_busy(&mut self, now: Moment, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
-            peer.paused_until = now + BUSY_PAUSE;
+            peer.paused_until = now + BUSY_BACKOFF;
         }
     }
 
     /// A box is slow or out of reach; it is left alone for longer each time.
-    pub(super) fn note_trouble(&mut self, now: Moment, key: PeerKey) {
-        let first = self.first_pause;
+    pub(super) fn note_failure(&mut self, now: Moment, key: PeerKey) {
+        let first = self.initial_backoff;
         if let Some(peer) = self.get_mut(key) {
             // What fails while it is left alone anyway is the same trouble.
             if peer.paused_until > now {
                 return;
             }
-            let pause = first.saturating_mul((1 << peer.troubles.min(4)).min(LONGEST_PAUSE));
-            peer.troubles += 1;
+            let pause = first.saturating_mul((1 << peer.failures.min(4)).min(MAX_BACKOFF_FACTOR));
+            peer.failures += 1;
             peer.paused_until = now + pause;
         }
     }
@@ -267,7 +268,7 @@
             return;
         };
         let peer = &mut self.peers[at];
-        peer.strikes += 1;
+        peer.corrupt_chunks += 1;
         if !peer.is_corrupter() {
             return;
         }
@@ -282,7 +283,7 @@
     }
 
     /// Chunks held by neighbours that can be asked now, as a field of words.
-    pub(super) fn on_offer(&self, now: Moment, limits: AskLimits) -> Vec<u64> {
+    pub(super) fn available(&self, now: Moment, limits: AskLimits) -> Vec<u64> {
         let mut union = Vec::new();
         self.peers
             .iter()
--- a/crates/core/src/burst/planner/outcomes.rs
+++ b/crates/core/src/burst/planner/outcomes.rs
@@ -5,17 +5,17 @@
 use super::SwarmPlanner;
 use crate::{
     burst::{
-        ChunkSource, DrawPool, FetchFailure, PeerKey, SwarmAction, SwarmNote, pursuit::RATE_CHUNKS,
-        seats::ImportOrigin,
+        ChunkSource, DrawPool, FetchFailure, PeerKey, SwarmAction, SwarmNote,
+        fetching::RATE_CHUNKS, topology::ImportOrigin,
     },
     time::Moment,
 };
 
 /// A chunk with fewer copies nearby is told of at once.
-const TELL_AT_ONCE: u32 = 3;
+const ANNOUNCE_AT_ONCE_COPIES: u32 = 3;
 
 /// A box tells of its first chunks at once: waiting would add to every doubling of their copies.
-const EARLY_TELLS: u32 = 32;
+const EARLY_ANNOUNCEMENTS: u32 = 32;
 
 /// Rounds in which offers to other domains are repeated at least after a chunk has entered this one: the
 /// note of a chunk that comes late, after an outage of the origin, may be lost as well.
@@ -31,13 +31,13 @@
         actions: &mut Vec<SwarmAction>,
     ) {
         self.note_transfer(now, chunk);
-        self.close(chunk, source);
-        self.patience = (self.patience / 2).max(1);
+        self.close_fetch(chunk, source);
+        self.timeout_factor = (self.timeout_factor / 2).max(1);
         if source == ChunkSource::Origin {
             self.window.note_drawn();
         }
         if let ChunkSource::Peer(peer) = source {
-            self.peers.praise(peer);
+            self.peers.note_valid_chunk(peer);
         }
         if self.held.insert(chunk) {
             self.window.note_arrival(now);
@@ -48,7 +48,7 @@
             self.announce(now, chunk, source, actions);
         }
         self.check_complete(actions);
-        self.pursue(now, actions);
+        self.start_fetches(now, actions);
     }
 
     /// Notes how long a chunk took to come over this box's link.
@@ -56,8 +56,8 @@
         let started = self.open.get(&chunk).and_then(|fetch| fetch.started);
         let Some(started) = started else { return };
         // Chunks that come at the same time share the link.
-        let took = now.since(started) / self.coming().max(1) as u32;
-        self.transfer = (self.transfer * 2 + took) / 3;
+        let took = now.since(started) / self.active_downloads().max(1) as u32;
+        self.transfer_time = (self.transfer_time * 2 + took) / 3;
     }
 
     pub(in crate::burst) fn announce(
@@ -67,41 +67,45 @@
         source: ChunkSource,
         actions: &mut Vec<SwarmAction>,
     ) {
-        let seekers = self.imports.settle(chunk);
+        let seekers = self.imports.resolve(chunk);
         let onward = self.import_origin(source).map(|from| {
-            self.brought.insert(chunk, from);
+            self.imported.insert(chunk, from);
             self.offer_rounds = self.offer_rounds.max(LATE_OFFER_ROUNDS);
-            self.seats.onward(chunk, from)
+            self.topology.onward(chunk, from)
         });
-        let offer = |to| SwarmAction::Tell { to, note: SwarmNote::Offer(chunk) };
+        let offer = |to| SwarmAction::SendNote { to, note: SwarmNote::Offer(chunk) };
         actions.extend(onward.into_iter().flatten().chain(seekers).map(offer));
-        self.fresh.push(chunk);
-        let early = self.held.count() < EARLY_TELLS;
-        if early || self.peers.copies(chunk) < TELL_AT_ONCE {
-            self.tell_fresh(now, actions);
+        self.unannounced.push(chunk);
+        let early = self.held.count() < EARLY_ANNOUNCEMENTS;
+        if early || self.peers.copies(chunk) < ANNOUNCE_AT_ONCE_COPIES {
+            self.flush_announcements(now, actions);
         }
     }
 
     /// How a chunk entered this domain; none if it was in it already.
     pub(in crate::burst) fn import_origin(&self, source: ChunkSource) -> Option<ImportOrigin> {
-        let ChunkSource::Peer(peer) = source else { return Some(ImportOrigin::Outside) };
-        let seat = self.seats.seat(peer)?;
-        let me = self.seats.me();
-        match (seat.domain == me.domain, seat.region == me.region) {
+        let ChunkSource::Peer(peer) = source else { return Some(ImportOrigin::OriginOrStore) };
+        let location = self.topology.location(peer)?;
+        let me = self.topology.local();
+        match (location.domain == me.domain, location.region == me.region) {
             (true, _) => None,
-            (false, true) => Some(ImportOrigin::Sibling),
+            (false, true) => Some(ImportOrigin::SameRegion),
             (false, false) => Some(ImportOrigin::OtherRegion),
         }
     }
 
-    pub(in crate::burst) fn tell_fresh(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
-        if self.fresh.is_empty() {
+    pub(in crate::burst) fn flush_announcements(
+        &mut self,
+        now: Moment,
+        actions: &mut Vec<SwarmAction>,
+    ) {
+        if self.unannounced.is_empty() {
             return;
         }
-        self.told = now;
-        let fresh = std::mem::take(&mut self.fresh);
+        self.last_announced = now;
+        let fresh = std::mem::take(&mut self.unannounced);
         let note = || SwarmNote::Have(fresh.clone());
-        actions.extend(self.peers.keys().map(|to| SwarmAction::Tell { to, note: note() }));
+        actions.extend(self.peers.keys().map(|to| SwarmAction::SendNote { to, note: note() }));
     }
 
     pub(in crate::burst) fn check_complete(&mut self, actions: &mut Vec<SwarmAction>) {
@@ -125,16 +129,16 @@
         failure: FetchFailure,
         actions: &mut Vec<SwarmAction>,
     ) {
-        self.close(chunk, source);
+        self.close_fetch(chunk, source);
         match source {
-            ChunkSource::Peer(peer) => self.blame(now, peer, chunk, failure),
+            ChunkSource::Peer(peer) => self.note_peer_failure(now, peer, chunk, failure),
             ChunkSource::Origin => self.postpone(now, chunk, DrawPool::Origin, failure),
             ChunkSource::Store => self.postpone(now, chunk, DrawPool::Store, failure),
         }
-        self.pursue(now, actions);
+        self.start_fetches(now, actions);
     }
 
-    pub(in crate::burst) fn blame(
+    pub(in crate::burst) fn note_peer_failure(
         &mut self,
         now: Moment,
         peer: PeerKey,
@@ -150,7 +154,7 @@
             }
             FetchFailure::Busy => self.peers.note_busy(now, peer),
             FetchFailure::Absent => self.peers.drop_chunk(peer, chunk),
-            FetchFailure::Unreachable => self.peers.note_trouble(now, peer),
+            FetchFailure::Unreachable => self.peers.note_failure(now, peer),
         }
     }
 
@@ -168,7 +172,7 @@
         self.draws.postpone(now, chunk, pool);
         if pool == DrawPool::Origin {
             self.window.note_failure(now);
-            self.imports.wait_anew(now);
+            self.imports.restart_waits(now);
         }
     }
 }
--- a/crates/core/src/burst/seats.rs
+++ b/crates/core/src/burst/topology.rs
@@ -18,7 +18,7 @@
 
 /// A box and where it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct PeerSeat {
+pub struct PeerLocation {
     /// Key of the box.
     pub key: PeerKey,
     /// Key of its failure domain.
@@ -29,40 +29,40 @@
 
 /// The boxes that take part in one transfer.
 #[derive(Debug, Clone)]
-pub struct SeatMap {
+pub struct PeerTopology {
     salt: u64,
-    me: PeerSeat,
-    seats: BTreeMap<PeerKey, PeerSeat>,
+    local: PeerLocation,
+    peers: BTreeMap<PeerKey, PeerLocation>,
     /// Domain to its region and its boxes.
     domains: BTreeMap<u64, (u64, Vec<u64>)>,
     /// The drawers of the first chunks, as far as they have been asked for since the last list.
     drawers: RefCell<HashMap<ChunkIndex, PeerKey>>,
 }
 
-impl SeatMap {
+impl PeerTopology {
     /// A map with this box alone; `salt` keeps transfers from burdening the same boxes.
-    pub fn new(salt: u64, me: PeerSeat) -> Self {
+    pub fn new(salt: u64, local: PeerLocation) -> Self {
         let mut map = Self {
             salt,
-            me,
-            seats: BTreeMap::new(),
+            local,
+            peers: BTreeMap::new(),
             domains: BTreeMap::new(),
             drawers: RefCell::default(),
         };
-        map.replace(&[me]);
+        map.replace(&[local]);
         map
     }
 
     /// Takes over a new list; this box is always in it.
-    pub fn replace(&mut self, seats: &[PeerSeat]) {
-        self.seats = seats.iter().map(|seat| (seat.key, *seat)).collect();
-        self.seats.insert(self.me.key, self.me);
+    pub fn replace(&mut self, peers: &[PeerLocation]) {
+        self.peers = peers.iter().map(|peer| (peer.key, *peer)).collect();
+        self.peers.insert(self.local.key, self.local);
         self.index();
     }
 
     /// Leaves out a box until the next list.
     pub fn remove(&mut self, peer: PeerKey) {
-        if peer != self.me.key && self.seats.remove(&peer).is_some() {
+        if peer != self.local.key && self.peers.remove(&peer).is_some() {
             self.index();
         }
     }
@@ -70,25 +70,25 @@
     fn index(&mut self) {
         self.domains.clear();
         self.drawers.get_mut().clear();
-        for seat in self.seats.values() {
-            let entry = self.domains.entry(seat.domain).or_insert((seat.region, Vec::new()));
-            entry.1.push(seat.key.0);
+        for peer in self.peers.values() {
+            let entry = self.domains.entry(peer.domain).or_insert((peer.region, Vec::new()));
+            entry.1.push(peer.key.0);
         }
     }
 
     /// This box.
-    pub fn me(&self) -> PeerSeat {
-        self.me
+    pub fn local(&self) -> PeerLocation {
+        self.local
     }
 
     /// Boxes that take part.
     pub fn count(&self) -> usize {
-        self.seats.len()
+        self.peers.len()
     }
 
     /// Where a box stands.
-    pub fn seat(&self, peer: PeerKey) -> Option<PeerSeat> {
-        self.seats.get(&peer).copied()
+    pub fn location(&self, peer: PeerKey) -> Option<PeerLocation> {
+        self.peers.get(&peer).copied()
     }
 
     fn subject(&self, chunk: ChunkIndex) -> u64 {
@@ -98,13 +98,13 @@
     /// The domain whose importer draws `chunk` from the origin.
     pub fn first_domain(&self, chunk: ChunkIndex) -> u64 {
         let domains = self.domains.keys().copied();
-        winner(self.subject(chunk), domains).unwrap_or(self.me.domain)
+        winner(self.subject(chunk), domains).unwrap_or(self.local.domain)
     }
 
     /// Rank of this box's domain for `chunk`, 0 for the one that draws it.
     pub fn domain_rank(&self, chunk: ChunkIndex) -> usize {
         let ranked = ranking(self.subject(chunk), self.domains.keys().copied());
-        ranked.iter().position(|domain| *domain == self.me.domain).unwrap_or(0)
+        ranked.iter().position(|domain| *domain == self.local.domain).unwrap_or(0)
     }
 
     /// The box that draws `chunk` from the origin or the store.
@@ -113,7 +113,7 @@
     /// until the list changes.
     pub fn drawer(&self, chunk: ChunkIndex) -> PeerKey {
         let mut drawers = self.drawers.borrow_mut();
-        let ranked = || self.importer(self.first_domain(chunk), chunk).unwrap_or(self.me.key);
+        let ranked = || self.importer(self.first_domain(chunk), chunk).unwrap_or(self.local.key);
         *drawers.entry(chunk).or_insert_with(ranked)
     }
 
@@ -124,8 +124,8 @@
         let fits = |key: &u64| !failed.contains(&PeerKey(*key));
         let subject = self.subject(chunk);
         let drawer = winner(subject, near.iter().copied().filter(fits));
-        let anyone = || winner(subject, self.seats.keys().map(|key| key.0).filter(fits));
-        drawer.or_else(anyone).map_or(self.me.key, PeerKey)
+        let anyone = || winner(subject, self.peers.keys().map(|key| key.0).filter(fits));
+        drawer.or_else(anyone).map_or(self.local.key, PeerKey)
     }
 
     /// The box that brings `chunk` into `domain`.
@@ -137,8 +137,8 @@
     /// Rank of this box among its domain's importers of `chunk`, 0 for the first.
     pub fn importer_rank(&self, chunk: ChunkIndex) -> usize {
         let subject = self.subject(chunk);
-        let own = score(subject, self.me.key.0);
-        let near = self.domains.get(&self.me.domain).map_or(&[][..], |(_, boxes)| boxes);
+        let own = score(subject, self.local.key.0);
+        let near = self.domains.get(&self.local.domain).map_or(&[][..], |(_, boxes)| boxes);
         near.iter().filter(|other| score(subject, **other) > own).count()
     }
 
@@ -149,7 +149,7 @@
             ranking(subject, boxes.iter().copied()).into_iter().take(most).collect::<Vec<_>>()
         };
         let keys = self.domains.values().flat_map(|(_, boxes)| first(boxes)).map(PeerKey);
-        keys.filter(|key| *key != self.me.key).collect()
+        keys.filter(|key| *key != self.local.key).collect()
     }
 
     /// To whom a chunk that has just entered this box's domain from `source_region` is offered:
@@ -159,18 +159,22 @@
         let siblings = self
             .domains
             .iter()
-            .filter(|(domain, (region, _))| **domain != self.me.domain && *region == self.me.region)
+            .filter(|(domain, (region, _))| {
+                **domain != self.local.domain && *region == self.local.region
+            })
             .map(|(domain, _)| *domain);
         let targets: Vec<u64> = match source {
-            ImportOrigin::Sibling => Vec::new(),
+            ImportOrigin::SameRegion => Vec::new(),
             ImportOrigin::OtherRegion => siblings.collect(),
-            ImportOrigin::Outside => siblings.chain(self.region_heads(chunk)).collect(),
+            ImportOrigin::OriginOrStore => {
+                siblings.chain(self.region_entry_domains(chunk)).collect()
+            }
         };
         targets.into_iter().filter_map(|domain| self.importer(domain, chunk)).collect()
     }
 
     /// For each other region, the domain that takes `chunk` in for all of it.
-    fn region_heads(&self, chunk: ChunkIndex) -> impl Iterator<Item = u64> {
+    fn region_entry_domains(&self, chunk: ChunkIndex) -> impl Iterator<Item = u64> {
         let subject = self.subject(chunk);
         let mut heads: BTreeMap<u64, u64> = BTreeMap::new();
         for (domain, (region, _)) in &self.domains {
@@ -179,7 +183,7 @@
                 *head = *domain;
             }
         }
-        heads.remove(&self.me.region);
+        heads.remove(&self.local.region);
         heads.into_values()
     }
 
@@ -188,9 +192,9 @@
     /// The choice is symmetric: a pair of boxes belongs together if the score of the pair is
     /// below a threshold that gives each box about `wanted` neighbours.
     pub fn neighbours(&self, wanted: usize) -> Vec<PeerKey> {
-        let Some((_, boxes)) = self.domains.get(&self.me.domain) else { return Vec::new() };
+        let Some((_, boxes)) = self.domains.get(&self.local.domain) else { return Vec::new() };
         let others = boxes.len().saturating_sub(1);
-        let own = self.me.key.0;
+        let own = self.local.key.0;
         let near = |other: &&u64| {
             let pair = score(own.min(**other), own.max(**other));
             others <= wanted || pair < (u64::MAX / others as u64).saturating_mul(wanted as u64)
@@ -203,9 +207,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ImportOrigin {
     /// The origin or the store.
-    Outside,
+    OriginOrStore,
     /// A box of another region.
     OtherRegion,
     /// A box of another domain in this region.
-    Sibling,
+    SameRegion,
 }
--- a/crates/core/tests/burst_absent.rs
+++ b/crates/core/tests/burst_absent.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use headlatch_core::{
     burst::{
-        ChunkSet, ChunkSource, DrawOrder, FetchFailure, PeerKey, PeerSeat, SeatMap, SwarmAction,
-        SwarmEvent, SwarmNote, SwarmPace, SwarmPlanner, SwarmSettings,
+        ChunkSet, ChunkSource, DrawMode, FetchFailure, PeerKey, PeerLocation, PeerTopology,
+        SwarmAction, SwarmEvent, SwarmNote, SwarmPlanner, SwarmSettings, SwarmTimings,
     },
     time::Moment,
 };
@@ -34,7 +34,7 @@
 const ABSENT: usize = 7;
 
 /// The chunk whose first importers are those that do not begin.
-const ORPHAN: ChunkIndex = ChunkIndex(5);
+const UNSERVED_CHUNK: ChunkIndex = ChunkIndex(5);
 
 /// Bound for a whole burst: the draws (1 s), and for each of seven ranks 0.2 s and the time of 16
 /// chunks, which is 2.5 s, and as much again for the box that takes over and for ticks.
@@ -55,21 +55,21 @@
 
 impl World {
     /// A burst of all `seats` in which those in `absent` never begin.
-    fn begin(seats: &[PeerSeat], absent: &BTreeSet<PeerKey>) -> Self {
+    fn begin(peers: &[PeerLocation], absent: &BTreeSet<PeerKey>) -> Self {
         let mut world = Self {
             now: Moment::ZERO,
             planners: BTreeMap::new(),
-            domains: seats.iter().map(|seat| (seat.key, seat.domain)).collect(),
+            domains: peers.iter().map(|peer| (peer.key, peer.domain)).collect(),
             due: BTreeMap::new(),
             events: 0,
             draws: 0,
             imports: 0,
         };
-        for seat in seats.iter().filter(|seat| !absent.contains(&seat.key)) {
+        for peer in peers.iter().filter(|peer| !absent.contains(&peer.key)) {
             let held = ChunkSet::new(CHUNKS);
-            let planner = SwarmPlanner::begin(settings(), SALT, *seat, held, world.now);
-            world.planners.insert(seat.key, planner);
-            world.post(Duration::ZERO, seat.key, SwarmEvent::Seats(seats.to_vec()));
+            let planner = SwarmPlanner::begin(settings(), SALT, *peer, held, world.now);
+            world.planners.insert(peer.key, planner);
+            world.post(Duration::ZERO, peer.key, SwarmEvent::Peers(peers.to_vec()));
         }
         world
     }
@@ -77,7 +77,7 @@
     /// Lets the burst run until everybody who takes part is complete, at most until `end`.
     fn run(&mut self, end: Duration) {
         let end = Moment::ZERO + end;
-        let tick = settings().pace.tick;
+        let tick = settings().timings.tick;
         while self.now < end && !self.is_complete() {
             let boxes: Vec<PeerKey> = self.planners.keys().copied().collect();
             boxes.into_iter().for_each(|key| self.post(tick, key, SwarmEvent::Tick));
@@ -116,7 +116,7 @@
                 let held = self.planners[&me].held().count();
                 let (source, failure) = (ChunkSource::Peer(from), FetchFailure::Unreachable);
                 let failed = SwarmEvent::Failed { chunk, source, failure };
-                self.send(me, from, SwarmEvent::Asked { from: me, chunk, held }, failed);
+                self.send(me, from, SwarmEvent::Requested { from: me, chunk, held }, failed);
             }
             SwarmAction::Fetch { chunk, source } => {
                 self.draws += 1;
@@ -124,40 +124,45 @@
             }
             SwarmAction::Grant { to, chunk } => {
                 let source = ChunkSource::Peer(me);
-                self.post(MESSAGE_TIME, to, SwarmEvent::Turn { chunk, source });
+                self.post(MESSAGE_TIME, to, SwarmEvent::Granted { chunk, source });
             }
             SwarmAction::Refuse { to, chunk, failure } => {
                 let source = ChunkSource::Peer(me);
                 self.post(MESSAGE_TIME, to, SwarmEvent::Failed { chunk, source, failure });
             }
-            SwarmAction::Take { chunk, source: ChunkSource::Peer(from) } => {
+            SwarmAction::AcceptGrant { chunk, source: ChunkSource::Peer(from) } => {
                 self.imports += usize::from(self.domains[&me] != self.domains[&from]);
                 let source = ChunkSource::Peer(from);
                 self.post(CHUNK_TIME, me, SwarmEvent::Verified { chunk, source });
                 self.post(CHUNK_TIME, from, SwarmEvent::Sent { to: me, chunk });
             }
             SwarmAction::Cancel { chunk, source: ChunkSource::Peer(from) } => {
-                self.post(MESSAGE_TIME, from, SwarmEvent::Withdrawn { from: me, chunk });
+                self.post(MESSAGE_TIME, from, SwarmEvent::RequestCancelled { from: me, chunk });
             }
-            SwarmAction::Pass { chunk, source: ChunkSource::Peer(from) } => {
-                self.post(MESSAGE_TIME, from, SwarmEvent::Passed { from: me, chunk });
+            SwarmAction::DeferGrant { chunk, source: ChunkSource::Peer(from) } => {
+                self.post(MESSAGE_TIME, from, SwarmEvent::GrantDeferred { from: me, chunk });
             }
-            SwarmAction::Resume { chunk, source: ChunkSource::Peer(from) } => {
-                self.post(MESSAGE_TIME, from, SwarmEvent::Resumed { from: me, chunk });
+            SwarmAction::ResumeGrant { chunk, source: ChunkSource::Peer(from) } => {
+                self.post(MESSAGE_TIME, from, SwarmEvent::GrantResumed { from: me, chunk });
             }
-            SwarmAction::Tell { to, note } => self.tell(me, to, note),
+            SwarmAction::SendNote { to, note } => self.send_note(me, to, note),
             // The origin is not told of turns.
-            SwarmAction::Take { .. }
+            SwarmAction::AcceptGrant { .. }
             | SwarmAction::Cancel { .. }
-            | SwarmAction::Pass { .. }
-            | SwarmAction::Resume { .. }
+            | SwarmAction::DeferGrant { .. }
+            | SwarmAction::ResumeGrant { .. }
             | SwarmAction::Complete => {}
         }
     }
 
-    fn tell(&mut self, me: PeerKey, to: PeerKey, note: SwarmNote) {
-        let pulse = self.planners[&me].pulse();
-        self.send(me, to, SwarmEvent::Note { from: me, note, pulse }, SwarmEvent::Lost(to));
+    fn send_note(&mut self, me: PeerKey, to: PeerKey, note: SwarmNote) {
+        let status = self.planners[&me].status();
+        self.send(
+            me,
+            to,
+            SwarmEvent::Note { from: me, note, status },
+            SwarmEvent::PeerUnreachable(to),
+        );
     }
 
     fn is_complete(&self) -> bool {
@@ -174,30 +179,31 @@
 fn settings() -> SwarmSettings {
     let mut settings = SwarmSettings::new(CHUNKS, CHUNK_TIME, CHUNK_TIME);
     settings.prefer = BurstPreference::OriginBytes;
-    settings.draws = DrawOrder::Assigned;
-    settings.pace = SwarmPace::quick();
+    settings.draw_mode = DrawMode::Assigned;
+    settings.timings = SwarmTimings::short_burst();
     settings
 }
 
 /// `BOXES` boxes in each of as many domains, which are regions as well.
-fn seats(domains: u64) -> Vec<PeerSeat> {
-    let seat = |key| PeerSeat { key: PeerKey(key), domain: key % domains, region: key % domains };
-    (1..=domains * BOXES).map(seat).collect()
+fn peers(domains: u64) -> Vec<PeerLocation> {
+    let peer =
+        |key| PeerLocation { key: PeerKey(key), domain: key % domains, region: key % domains };
+    (1..=domains * BOXES).map(peer).collect()
 }
 
 /// The first importers of the orphaned chunk in `DOMAIN`.
-fn importers(seats: &[PeerSeat], count: usize) -> BTreeSet<PeerKey> {
-    let me = PeerSeat { key: PeerKey(0), domain: u64::MAX, region: u64::MAX };
-    let mut map = SeatMap::new(SALT, me);
-    map.replace(seats);
-    let near = |key: &PeerKey| map.seat(*key).is_some_and(|seat| seat.domain == DOMAIN);
-    map.other_importers(ORPHAN, count).into_iter().filter(near).collect()
+fn importers(peers: &[PeerLocation], count: usize) -> BTreeSet<PeerKey> {
+    let me = PeerLocation { key: PeerKey(0), domain: u64::MAX, region: u64::MAX };
+    let mut map = PeerTopology::new(SALT, me);
+    map.replace(peers);
+    let near = |key: &PeerKey| map.location(*key).is_some_and(|peer| peer.domain == DOMAIN);
+    map.other_importers(UNSERVED_CHUNK, count).into_iter().filter(near).collect()
 }
 
 #[gtest]
 fn a_chunk_whose_first_importers_never_begin_comes_from_another_domain() {
-    let seats = seats(3);
-    let mut world = World::begin(&seats, &importers(&seats, ABSENT));
+    let peers = peers(3);
+    let mut world = World::begin(&peers, &importers(&peers, ABSENT));
     world.run(BOUND);
     let present = BOXES as usize - ABSENT;
     expect_that!(world.held(DOMAIN), eq(&vec![CHUNKS; present]));
@@ -205,8 +211,8 @@
 
 #[gtest]
 fn a_chunk_whose_first_drawers_never_begin_is_drawn_by_another_box() {
-    let seats = seats(1);
-    let mut world = World::begin(&seats, &importers(&seats, ABSENT));
+    let peers = peers(1);
+    let mut world = World::begin(&peers, &importers(&peers, ABSENT));
     world.run(BOUND);
     let present = BOXES as usize - ABSENT;
     expect_that!(world.held(DOMAIN), eq(&vec![CHUNKS; present]));
@@ -216,8 +222,8 @@
 #[gtest]
 fn a_burst_in_which_all_begin_draws_and_imports_each_chunk_once() {
     let domains = 3;
-    let seats = seats(domains);
-    let mut world = World::begin(&seats, &BTreeSet::new());
+    let peers = peers(domains);
+    let mut world = World::begin(&peers, &BTreeSet::new());
     world.run(BOUND);
     expect_that!(world.is_complete(), eq(true));
     expect_that!(world.draws, eq(CHUNKS as usize));
--- a/crates/core/tests/burst_peers.rs
+++ b/crates/core/tests/burst_peers.rs
@@ -5,8 +5,8 @@
 use googletest::prelude::*;
 use headlatch_core::{
     burst::{
-        ChunkSet, ChunkSource, DrawOrder, FetchFailure, PeerKey, PeerSeat, SwarmAction, SwarmEvent,
-        SwarmNote, SwarmPace, SwarmPlanner, SwarmPulse, SwarmSettings,
+        ChunkSet, ChunkSource, DrawMode, FetchFailure, PeerKey, PeerLocation, PeerStatus,
+        SwarmAction, SwarmEvent, SwarmNote, SwarmPlanner, SwarmSettings, SwarmTimings,
     },
     time::Moment,
 };
@@ -28,12 +28,12 @@
 fn planner() -> (SwarmPlanner, Vec<SwarmAction>) {
     let chunk_time = Duration::from_millis(30);
     let mut settings = SwarmSettings::new(CHUNKS, chunk_time, chunk_time);
-    settings.draws = DrawOrder::Assigned;
-    settings.pace = SwarmPace::quick();
-    let seat = |key| PeerSeat { key: PeerKey(key), domain: 1, region: 1 };
+    settings.draw_mode = DrawMode::Assigned;
+    settings.timings = SwarmTimings::short_burst();
+    let location = |key| PeerLocation { key: PeerKey(key), domain: 1, region: 1 };
     let held = ChunkSet::new(CHUNKS);
-    let mut planner = SwarmPlanner::begin(settings, 1, seat(1), held, at(0));
-    let first = planner.handle(at(0), SwarmEvent::Seats(vec![seat(1), seat(2)]));
+    let mut planner = SwarmPlanner::begin(settings, 1, location(1), held, at(0));
+    let first = planner.handle(at(0), SwarmEvent::Peers(vec![location(1), location(2)]));
     (planner, first)
 }
 
@@ -42,7 +42,7 @@
     (0..CHUNKS).for_each(|chunk| {
         field.insert(ChunkIndex(chunk));
     });
-    SwarmEvent::Note { from: PEER, note: SwarmNote::Field(field), pulse: SwarmPulse::default() }
+    SwarmEvent::Note { from: PEER, note: SwarmNote::Bitfield(field), status: PeerStatus::default() }
 }
 
 fn asks_peer(actions: &[SwarmAction]) -> bool {
@@ -57,7 +57,7 @@
     let (mut planner, _) = planner();
     // Every note that could not be delivered says so.
     for tick in 0..20 {
-        planner.handle(at(50 * tick), SwarmEvent::Lost(PEER));
+        planner.handle(at(50 * tick), SwarmEvent::PeerUnreachable(PEER));
     }
     let actions = planner.handle(at(1300), everything());
     expect_that!(asks_peer(&actions), eq(true));
@@ -92,20 +92,20 @@
 fn draws_after_an_outage(boxes: u64) -> usize {
     let chunk_time = Duration::from_millis(30);
     let mut settings = SwarmSettings::new(CHUNKS * 4, chunk_time, chunk_time);
-    settings.draws = DrawOrder::Assigned;
-    settings.pace = SwarmPace::quick();
-    let seat = |key: u64| PeerSeat { key: PeerKey(key), domain: key % 3, region: key % 3 };
-    let seats: Vec<PeerSeat> = (1..=boxes).map(seat).collect();
-    let begin = |seat: &PeerSeat| {
-        SwarmPlanner::begin(settings.clone(), 1, *seat, ChunkSet::new(CHUNKS * 4), at(0))
+    settings.draw_mode = DrawMode::Assigned;
+    settings.timings = SwarmTimings::short_burst();
+    let location = |key: u64| PeerLocation { key: PeerKey(key), domain: key % 3, region: key % 3 };
+    let peers: Vec<PeerLocation> = (1..=boxes).map(location).collect();
+    let begin = |location: &PeerLocation| {
+        SwarmPlanner::begin(settings.clone(), 1, *location, ChunkSet::new(CHUNKS * 4), at(0))
     };
-    let mut planners: Vec<SwarmPlanner> = seats.iter().map(begin).collect();
+    let mut planners: Vec<SwarmPlanner> = peers.iter().map(begin).collect();
     let mut draws = 0;
     for tick in 0..120 {
         let now = at(50 * tick);
         for planner in &mut planners {
             let event = match tick {
-                0 => SwarmEvent::Seats(seats.clone()),
+                0 => SwarmEvent::Peers(peers.clone()),
                 _ => SwarmEvent::Tick,
             };
             let mut begun = drawn(&planner.handle(now, event));
--- a/crates/core/tests/burst_window.rs
+++ b/crates/core/tests/burst_window.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use headlatch_core::{
     burst::{
-        ChunkSet, ChunkSource, DrawOrder, FetchFailure, PeerKey, PeerSeat, SwarmAction, SwarmEvent,
-        SwarmPace, SwarmPlanner, SwarmSettings,
+        ChunkSet, ChunkSource, DrawMode, FetchFailure, PeerKey, PeerLocation, SwarmAction,
+        SwarmEvent, SwarmPlanner, SwarmSettings, SwarmTimings,
     },
     time::Moment,
 };
@@ -30,23 +30,23 @@
 fn settings() -> SwarmSettings {
     let (own, origin) = (Duration::from_millis(27), Duration::from_millis(45));
     let mut settings = SwarmSettings::new(CHUNKS, own, origin);
-    settings.draws = DrawOrder::Assigned;
-    settings.pace = SwarmPace::quick();
+    settings.draw_mode = DrawMode::Assigned;
+    settings.timings = SwarmTimings::short_burst();
     settings
 }
 
-fn seat(number: u64) -> PeerSeat {
+fn location(number: u64) -> PeerLocation {
     let key = PeerKey(number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    PeerSeat { key, domain: number % 3, region: number % 3 }
+    PeerLocation { key, domain: number % 3, region: number % 3 }
 }
 
 fn planner(number: u64, held: ChunkSet) -> SwarmPlanner {
-    SwarmPlanner::begin(settings(), 1, seat(number), held, Moment::ZERO)
+    SwarmPlanner::begin(settings(), 1, location(number), held, Moment::ZERO)
 }
 
 #[gtest]
 fn an_origin_that_is_down_is_asked_for_the_first_chunks_alone() {
-    let seats: Vec<PeerSeat> = (0..BOXES).map(seat).collect();
+    let peers: Vec<PeerLocation> = (0..BOXES).map(location).collect();
     let mut planners: Vec<SwarmPlanner> =
         (0..BOXES).map(|number| planner(number, ChunkSet::new(CHUNKS))).collect();
     let mut asked = BTreeSet::new();
@@ -55,7 +55,7 @@
         let now = Moment::ZERO + TICK * tick;
         for (number, planner) in planners.iter_mut().enumerate() {
             let event = match tick {
-                0 => SwarmEvent::Seats(seats.clone()),
+                0 => SwarmEvent::Peers(peers.clone()),
                 _ => SwarmEvent::Tick,
             };
             for chunk in drawn(&planner.handle(now, event)) {
@@ -78,7 +78,7 @@
     let mut held = ChunkSet::new(CHUNKS);
     held.insert(ChunkIndex(0));
     let mut planner = planner(1, held);
-    let first = planner.handle(Moment::ZERO, SwarmEvent::Seats(vec![seat(1), seat(4)]));
+    let first = planner.handle(Moment::ZERO, SwarmEvent::Peers(vec![location(1), location(4)]));
     expect_that!(drawn(&first).len(), le(1));
     planner.handle(Moment::ZERO + TICK, SwarmEvent::Superseded);
     for chunk in drawn(&first) {
@@ -90,8 +90,8 @@
         .collect();
     let fetches = later.iter().filter(|action| matches!(action, SwarmAction::Fetch { .. }));
     expect_that!(fetches.count(), eq(0));
-    let ask = SwarmEvent::Asked { from: seat(4).key, chunk: ChunkIndex(0), held: 0 };
+    let ask = SwarmEvent::Requested { from: location(4).key, chunk: ChunkIndex(0), held: 0 };
     let answer = planner.handle(Moment::ZERO + TICK * 200, ask);
-    let granted = SwarmAction::Grant { to: seat(4).key, chunk: ChunkIndex(0) };
+    let granted = SwarmAction::Grant { to: location(4).key, chunk: ChunkIndex(0) };
     expect_that!(answer.contains(&granted), eq(true));
 }
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -12,7 +12,7 @@
 use headlatch_core::{
     apply::{ApplyEvent, ApplyOutcome, ApplyStep, FleetApply},
     burst::{
-        ChunkSet, ChunkSource, PeerKey, PeerSeat, SwarmAction, SwarmEvent, SwarmPlanner,
+        ChunkSet, ChunkSource, PeerKey, PeerLocation, SwarmAction, SwarmEvent, SwarmPlanner,
         SwarmSettings,
     },
     config::{ConfigHolder, FleetObject},
@@ -130,7 +130,7 @@
     /// Spreads the wanted version; chunks in `kept` are held by everybody already.
     fn burst(&mut self, kept: &[u32]) {
         self.say("\n# burst");
-        let seats: Vec<PeerSeat> = self.boxes.iter().map(seat).collect();
+        let seats: Vec<PeerLocation> = self.boxes.iter().map(seat).collect();
         let mut planners: BTreeMap<PeerKey, SwarmPlanner> = BTreeMap::new();
         let mut queue: VecDeque<(PeerKey, SwarmEvent)> = VecDeque::new();
         for seat in &seats {
@@ -142,7 +142,7 @@
                 held.insert(ChunkIndex(*chunk));
             });
             planners.insert(seat.key, SwarmPlanner::begin(settings, 1, *seat, held, self.now));
-            queue.push_back((seat.key, SwarmEvent::Seats(seats.clone())));
+            queue.push_back((seat.key, SwarmEvent::Peers(seats.clone())));
         }
         for _ in 0..100 {
             while let Some((to, event)) = queue.pop_front() {
@@ -171,16 +171,16 @@
         match action {
             SwarmAction::Fetch { chunk, source: ChunkSource::Peer(from) } => {
                 let held = planners[&me].progress().held;
-                queue.push_back((from, SwarmEvent::Asked { from: me, chunk, held }));
+                queue.push_back((from, SwarmEvent::Requested { from: me, chunk, held }));
             }
             SwarmAction::Fetch { chunk, source } => {
                 self.say(&format!("  {} draws chunk {chunk} from {source:?}", self.name(me)));
                 queue.push_back((me, SwarmEvent::Verified { chunk, source }));
             }
             SwarmAction::Grant { to, chunk } => {
-                queue.push_back((to, SwarmEvent::Turn { chunk, source: own }));
+                queue.push_back((to, SwarmEvent::Granted { chunk, source: own }));
             }
-            SwarmAction::Take { chunk, source } => {
+            SwarmAction::AcceptGrant { chunk, source } => {
                 if let ChunkSource::Peer(from) = source {
                     self.say(&format!(
                         "  {} gets chunk {chunk} from {}",
@@ -191,21 +191,21 @@
                 }
                 queue.push_back((me, SwarmEvent::Verified { chunk, source }));
             }
-            SwarmAction::Pass { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::Passed { from: me, chunk }));
+            SwarmAction::DeferGrant { chunk, source: ChunkSource::Peer(from) } => {
+                queue.push_back((from, SwarmEvent::GrantDeferred { from: me, chunk }));
             }
-            SwarmAction::Resume { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::Resumed { from: me, chunk }));
+            SwarmAction::ResumeGrant { chunk, source: ChunkSource::Peer(from) } => {
+                queue.push_back((from, SwarmEvent::GrantResumed { from: me, chunk }));
             }
             SwarmAction::Refuse { to, chunk, failure } => {
                 queue.push_back((to, SwarmEvent::Failed { chunk, source: own, failure }));
             }
-            SwarmAction::Tell { to, note } => {
-                let pulse = planners[&me].pulse();
-                queue.push_back((to, SwarmEvent::Note { from: me, note, pulse }));
+            SwarmAction::SendNote { to, note } => {
+                let pulse = planners[&me].status();
+                queue.push_back((to, SwarmEvent::Note { from: me, note, status: pulse }));
             }
             SwarmAction::Cancel { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::Withdrawn { from: me, chunk }));
+                queue.push_back((from, SwarmEvent::RequestCancelled { from: me, chunk }));
             }
             SwarmAction::Complete => self.say(&format!("  {} is whole", self.name(me))),
             _ => {}
@@ -312,9 +312,9 @@
     }
 }
 
-fn seat(one: &SessionBox) -> PeerSeat {
+fn seat(one: &SessionBox) -> PeerLocation {
     let domain = headlatch_types::digest::key_of(one.domain.as_bytes());
-    PeerSeat { key: PeerKey(one.id.key()), domain, region: domain }
+    PeerLocation { key: PeerKey(one.id.key()), domain, region: domain }
 }
 
 fn fleet(version: &str) -> String {
--- a/crates/daemon/src/agent/hub.rs
+++ b/crates/daemon/src/agent/hub.rs
@@ -6,7 +6,7 @@
 };
 
 use bytes::Bytes;
-use headlatch_core::burst::{FetchFailure, PeerKey, SwarmEvent, SwarmPulse};
+use headlatch_core::burst::{FetchFailure, PeerKey, PeerStatus, SwarmEvent};
 use headlatch_http::pace::LinkPacer;
 use headlatch_types::{ChunkIndex, Digest, id::BoxId};
 use headlatch_wire::{ChunkPiece, FetchChunkRequest, FetchStep, SwarmNotes, fetch_step::Step};
@@ -107,10 +107,10 @@
         let Ok(id) = notes.box_id.parse::<BoxId>() else { return false };
         let from = peer_key(&id);
         let chunks = handle.manifest.chunks().len() as u32;
-        let pulse = SwarmPulse { queue: notes.queue, drawn: notes.drawn.min(chunks) };
+        let pulse = PeerStatus { queue: notes.queue, drawn: notes.drawn.min(chunks) };
         for message in notes.notes {
             let Ok(note) = codec::decode_note(message, chunks) else { continue };
-            let event = SwarmEvent::Note { from, note, pulse };
+            let event = SwarmEvent::Note { from, note, status: pulse };
             handle.tell(DriverInput::Event(event));
         }
         true
@@ -157,7 +157,7 @@
 
 impl Drop for AskGuard {
     fn drop(&mut self) {
-        let event = SwarmEvent::Withdrawn { from: self.from, chunk: self.chunk };
+        let event = SwarmEvent::RequestCancelled { from: self.from, chunk: self.chunk };
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
             // The driver may have ended; then nobody needs to know.
@@ -189,10 +189,10 @@
                     StreamWord::Turn => yield ChunkPiece { turn: true, ..ChunkPiece::default() },
                     StreamWord::Step(Step::Take(_)) => break,
                     StreamWord::Step(Step::Pass(_)) => {
-                        tell(&inputs, SwarmEvent::Passed { from, chunk }).await;
+                        tell(&inputs, SwarmEvent::GrantDeferred { from, chunk }).await;
                     }
                     StreamWord::Step(Step::Resume(_)) => {
-                        tell(&inputs, SwarmEvent::Resumed { from, chunk }).await;
+                        tell(&inputs, SwarmEvent::GrantResumed { from, chunk }).await;
                     }
                     StreamWord::Step(Step::Ask(_)) => {
                         Err(Status::invalid_argument("asked twice"))?;
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use headlatch_core::{
-    burst::{PeerSeat, SwarmSettings},
+    burst::{PeerLocation, SwarmSettings},
     config::FleetConfig,
     gate::{EngineReport, GateStep, TargetSet},
     hash::ranking,
@@ -178,7 +178,7 @@
     }
 
     /// The boxes whose sets have this manifest, with their addresses.
-    fn seats(&self, goal: &LoadGoal, manifest: &Digest) -> Vec<(PeerSeat, SocketAddr)> {
+    fn seats(&self, goal: &LoadGoal, manifest: &Digest) -> Vec<(PeerLocation, SocketAddr)> {
         let takes_part = |id: &BoxId| {
             let placed =
                 goal.placement.get(id).and_then(|one| goal.config.plan.models.get(one.model));
@@ -193,7 +193,7 @@
         now: Moment,
         goal: &LoadGoal,
         part: &WeightPart,
-        seats: &[(PeerSeat, SocketAddr)],
+        seats: &[(PeerLocation, SocketAddr)],
     ) {
         let since = *self.state.wanted_since.entry(part.manifest).or_insert(now);
         let Some((text, manifest)) = self.find_manifest(now, since, part, seats).await else {
@@ -264,7 +264,7 @@
         now: Moment,
         since: Moment,
         part: &WeightPart,
-        seats: &[(PeerSeat, SocketAddr)],
+        seats: &[(PeerLocation, SocketAddr)],
     ) -> Option<(Bytes, Manifest)> {
         let own = peer_key(&self.node.settings.box_id);
         let ranked = ranking(part.manifest.key(), seats.iter().map(|(seat, _)| seat.key.0));
@@ -444,7 +444,7 @@
 }
 
 /// The place of a node in a transfer.
-fn seat_of(record: &NodeRecord) -> PeerSeat {
+fn seat_of(record: &NodeRecord) -> PeerLocation {
     let region = headlatch_types::digest::key_of(record.region.as_str().as_bytes());
-    PeerSeat { key: peer_key(&record.id), domain: record.domain.key(), region }
+    PeerLocation { key: peer_key(&record.id), domain: record.domain.key(), region }
 }
--- a/crates/daemon/src/agent/swarm.rs
+++ b/crates/daemon/src/agent/swarm.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use headlatch_core::{
     burst::{
-        ChunkSet, ChunkSource, FetchFailure, PeerKey, PeerSeat, SwarmAction, SwarmEvent, SwarmNote,
-        SwarmPlanner, SwarmSettings,
+        ChunkSet, ChunkSource, FetchFailure, PeerKey, PeerLocation, SwarmAction, SwarmEvent,
+        SwarmNote, SwarmPlanner, SwarmSettings,
     },
     time::Moment,
 };
@@ -54,7 +54,7 @@
         session: mpsc::Sender<SessionStep>,
     },
     /// The boxes that take part, with their addresses.
-    Seats(Vec<(PeerSeat, SocketAddr)>),
+    Seats(Vec<(PeerLocation, SocketAddr)>),
 }
 
 /// What becomes of a box's ask.
@@ -168,7 +168,7 @@
     location: String,
     (text, manifest): (Bytes, Arc<Manifest>),
     settings: SwarmSettings,
-    me: PeerSeat,
+    me: PeerLocation,
 ) -> SwarmHandle {
     let (sender, inputs) = mpsc::channel(MOST_INPUTS);
     let state = Arc::new(SwarmState::default());
@@ -177,7 +177,7 @@
         held.insert(chunk);
     });
     let salt = manifest.digest().key();
-    let tick = settings.pace.tick;
+    let tick = settings.timings.tick;
     let planner = SwarmPlanner::begin(settings, salt, me, held, tools.node.now());
     let driver = SwarmDriver {
         tools,
@@ -219,12 +219,12 @@
             DriverInput::Event(event) => self.handle(event),
             DriverInput::Ask { from, chunk, held, session } => {
                 self.sessions.insert((from, chunk), session);
-                self.handle(SwarmEvent::Asked { from, chunk, held });
+                self.handle(SwarmEvent::Requested { from, chunk, held });
             }
             DriverInput::Seats(seats) => {
                 self.addresses = seats.iter().map(|(seat, address)| (seat.key, *address)).collect();
                 let seats = seats.into_iter().map(|(seat, _)| seat).collect();
-                self.handle(SwarmEvent::Seats(seats));
+                self.handle(SwarmEvent::Peers(seats));
             }
         }
     }
@@ -235,7 +235,7 @@
         let mut notes: HashMap<PeerKey, Vec<SwarmNote>> = HashMap::new();
         for action in actions {
             match action {
-                SwarmAction::Tell { to, note } => notes.entry(to).or_default().push(note),
+                SwarmAction::SendNote { to, note } => notes.entry(to).or_default().push(note),
                 other => self.act(other),
             }
         }
@@ -248,7 +248,7 @@
             SwarmEvent::Verified { chunk, source } | SwarmEvent::Failed { chunk, source, .. } => {
                 self.fetches.retain(|open, fetch| open != chunk || fetch.source != *source);
             }
-            SwarmEvent::Withdrawn { from, chunk } | SwarmEvent::Sent { to: from, chunk } => {
+            SwarmEvent::RequestCancelled { from, chunk } | SwarmEvent::Sent { to: from, chunk } => {
                 self.sessions.remove(&(*from, *chunk));
             }
             _ => {}
@@ -261,16 +261,16 @@
             SwarmAction::Cancel { chunk, .. } => {
                 self.fetches.remove(&chunk);
             }
-            SwarmAction::Take { chunk, .. } => self.answer_turn(chunk, Step::Take(true)),
-            SwarmAction::Pass { chunk, .. } => self.answer_turn(chunk, Step::Pass(true)),
-            SwarmAction::Resume { chunk, .. } => self.answer_turn(chunk, Step::Resume(true)),
+            SwarmAction::AcceptGrant { chunk, .. } => self.answer_turn(chunk, Step::Take(true)),
+            SwarmAction::DeferGrant { chunk, .. } => self.answer_turn(chunk, Step::Pass(true)),
+            SwarmAction::ResumeGrant { chunk, .. } => self.answer_turn(chunk, Step::Resume(true)),
             SwarmAction::Grant { to, chunk } => self.answer_ask(to, chunk, SessionStep::Turn),
             SwarmAction::Refuse { to, chunk, failure } => {
                 self.answer_ask(to, chunk, SessionStep::Refuse(failure));
                 self.sessions.remove(&(to, chunk));
             }
             SwarmAction::Complete => self.complete(),
-            SwarmAction::Tell { .. } => {}
+            SwarmAction::SendNote { .. } => {}
         }
     }
 
@@ -291,7 +291,7 @@
         let told = session.is_some_and(|session| session.try_send(step).is_ok());
         if !told && step == SessionStep::Turn {
             self.sessions.remove(&(to, chunk));
-            let event = SwarmEvent::Withdrawn { from: to, chunk };
+            let event = SwarmEvent::RequestCancelled { from: to, chunk };
             self.send_later(DriverInput::Event(event));
         }
     }
@@ -327,7 +327,7 @@
     fn send_notes(&self, to: PeerKey, notes: Vec<SwarmNote>) {
         let Some(address) = self.addresses.get(&to).copied() else { return };
         let node = &self.tools.node;
-        let pulse = self.planner.pulse();
+        let pulse = self.planner.status();
         let message = SwarmNotes {
             manifest: Bytes::copy_from_slice(self.manifest.digest().as_bytes()),
             box_id: node.settings.box_id.to_string(),
@@ -338,7 +338,7 @@
         let inputs = self.own_inputs.clone();
         let lost = move || {
             // A driver that has ended, or that has too much to do, learns it from the silence.
-            let _ = inputs.try_send(DriverInput::Event(SwarmEvent::Lost(to)));
+            let _ = inputs.try_send(DriverInput::Event(SwarmEvent::PeerUnreachable(to)));
         };
         self.tools.carrier.send(address, message, Box::new(lost));
     }
@@ -438,7 +438,7 @@
         let (turns, mut told) = mpsc::channel(1);
         let pass_on = async {
             while told.recv().await == Some(()) {
-                let event = SwarmEvent::Turn { chunk: self.chunk, source: self.source };
+                let event = SwarmEvent::Granted { chunk: self.chunk, source: self.source };
                 // The driver may have ended; then this task ends as well.
                 let _ = self.inputs.send(DriverInput::Event(event)).await;
             }
--- a/crates/daemon/src/direct/seats.rs
+++ b/crates/daemon/src/direct/seats.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
 use headlatch_core::{
-    burst::{PeerKey, PeerSeat},
+    burst::{PeerKey, PeerLocation},
     direct::peers::ServerNotice,
     hash::ranking,
 };
@@ -18,7 +18,7 @@
 
 /// The agents of this server's service, this one among them: all of them come to hold the wanted
 /// version, also those that have not begun yet.
-pub(super) fn seats(state: &AgentState) -> Vec<(PeerSeat, SocketAddr)> {
+pub(super) fn seats(state: &AgentState) -> Vec<(PeerLocation, SocketAddr)> {
     let service = state.settings.service.as_deref().unwrap_or_default();
     let own = (own_seat(state), state.settings.node.control);
     let peers = lock(&state.peers);
@@ -78,15 +78,15 @@
 }
 
 /// The seat of this agent.
-pub(super) fn own_seat(state: &AgentState) -> PeerSeat {
+pub(super) fn own_seat(state: &AgentState) -> PeerLocation {
     let node = &state.settings.node;
     seat(state, node.control, &node.domain)
 }
 
-fn seat(state: &AgentState, control: SocketAddr, domain: &DomainId) -> PeerSeat {
+fn seat(state: &AgentState, control: SocketAddr, domain: &DomainId) -> PeerLocation {
     let region = state.settings.direct.zones.get(domain);
     let region = region.map_or(0, |region| key_of(region.as_str().as_bytes()));
-    PeerSeat { key: state.seat_key(control), domain: domain.key(), region }
+    PeerLocation { key: state.seat_key(control), domain: domain.key(), region }
 }
 
 /// The key of an agent's seat: every agent works it out alike from the address.
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use headlatch_core::{
-    burst::{DrawOrder, PeerSeat, SwarmEvent, SwarmPace, SwarmSettings},
+    burst::{DrawMode, PeerLocation, SwarmEvent, SwarmSettings, SwarmTimings},
     direct::{manifest_source::ManifestSource, staging::StageState},
     time::Moment,
 };
@@ -90,7 +90,7 @@
     links: TransferLinks,
     kept: Vec<Digest>,
     /// Who was last told to take part.
-    told_seats: Vec<(PeerSeat, SocketAddr)>,
+    told_seats: Vec<(PeerLocation, SocketAddr)>,
 }
 
 impl TransferDesk {
@@ -208,13 +208,13 @@
         let count = pieces.digests.len() as u32;
         let mut settings = SwarmSettings::new(count, own, origin_rate.time_for(bytes));
         settings.prefer = BurstPreference::OriginBytes;
-        settings.draws = DrawOrder::Assigned;
-        settings.pace = SwarmPace::quick();
+        settings.draw_mode = DrawMode::Assigned;
+        settings.timings = SwarmTimings::short_burst();
         settings.queue = MOST_WAITING;
         settings.neighbours = NEIGHBOURS;
         let name = piece_name(&pieces.model, pieces.version);
         let text = (encode_pieces(pieces), manifest.clone());
-        let own_seat: PeerSeat = seats::own_seat(&self.state);
+        let own_seat: PeerLocation = seats::own_seat(&self.state);
         swarm::start(tools, name, text, settings, own_seat)
     }
 
--- a/crates/daemon/src/node/codec.rs
+++ b/crates/daemon/src/node/codec.rs
@@ -137,9 +137,9 @@
         SwarmNote::Have(chunks) => {
             Note::Have(wire::ChunkList { chunks: chunks.iter().map(|chunk| chunk.0).collect() })
         }
-        SwarmNote::Field(field) => Note::Field(field.to_bytes().into()),
+        SwarmNote::Bitfield(field) => Note::Field(field.to_bytes().into()),
         SwarmNote::Ticket(ticket) => Note::Ticket(encode_ticket(*ticket)),
-        SwarmNote::Took(ticket) => Note::Took(encode_ticket(*ticket)),
+        SwarmNote::TicketReceived(ticket) => Note::Took(encode_ticket(*ticket)),
         SwarmNote::Offer(chunk) => Note::Offer(chunk.0),
         SwarmNote::Seek(chunk) => Note::Seek(chunk.0),
     };
@@ -170,9 +170,9 @@
         Note::Have(list) => {
             SwarmNote::Have(list.chunks.into_iter().map(checked).collect::<Result<_, _>>()?)
         }
-        Note::Field(field) => SwarmNote::Field(ChunkSet::from_bytes(chunks, &field)),
+        Note::Field(field) => SwarmNote::Bitfield(ChunkSet::from_bytes(chunks, &field)),
         Note::Ticket(ticket) => SwarmNote::Ticket(decode_ticket(&ticket, chunks)?),
-        Note::Took(ticket) => SwarmNote::Took(decode_ticket(&ticket, chunks)?),
+        Note::Took(ticket) => SwarmNote::TicketReceived(decode_ticket(&ticket, chunks)?),
         Note::Offer(chunk) => SwarmNote::Offer(checked(chunk)?),
         Note::Seek(chunk) => SwarmNote::Seek(checked(chunk)?),
     })
--- a/crates/daemon/tests/decoders.rs
+++ b/crates/daemon/tests/decoders.rs
@@ -15,9 +15,9 @@
     prop_oneof![
         prop::collection::vec(chunk(), 0..20).prop_map(SwarmNote::Have),
         prop::collection::vec(any::<u8>(), 0..13)
-            .prop_map(|bytes| SwarmNote::Field(ChunkSet::from_bytes(100, &bytes))),
+            .prop_map(|bytes| SwarmNote::Bitfield(ChunkSet::from_bytes(100, &bytes))),
         ticket.clone().prop_map(SwarmNote::Ticket),
-        ticket.prop_map(SwarmNote::Took),
+        ticket.prop_map(SwarmNote::TicketReceived),
         chunk().prop_map(SwarmNote::Offer),
         chunk().prop_map(SwarmNote::Seek),
     ]
