--- a/crates/core/src/burst/chunks.rs
+++ b/crates/core/src/burst/chunks.rs
@@ -4,7 +4,7 @@
 
 const WORD_BITS: u32 = 64;
 
-/// A set of the chunks of one manifest, as a bit field.
+/// A set of the chunks of one manifest, stored as a bitfield.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChunkSet {
     words: Vec<u64>,
@@ -18,7 +18,7 @@
         Self { words: vec![0; chunks.div_ceil(WORD_BITS) as usize], chunks, count: 0 }
     }
 
-    /// A set with every chunk.
+    /// A set that contains every chunk.
     pub fn full(chunks: u32) -> Self {
         let mut set = Self::new(chunks);
         (0..chunks).for_each(|chunk| {
@@ -27,7 +27,7 @@
         set
     }
 
-    /// Reads a field of 8 chunks a byte; bits past the last chunk are ignored.
+    /// Parses a bitfield with 8 chunks per byte; bits past the last chunk are ignored.
     pub fn from_bytes(chunks: u32, bytes: &[u8]) -> Self {
         let mut set = Self::new(chunks);
         let is_set = |chunk: &u32| {
@@ -39,13 +39,13 @@
         set
     }
 
-    /// The field as 8 chunks a byte.
+    /// Encodes the set as a bitfield with 8 chunks per byte.
     pub fn to_bytes(&self) -> Vec<u8> {
         let bytes = self.words.iter().flat_map(|word| word.to_le_bytes());
         bytes.take(self.chunks.div_ceil(8) as usize).collect()
     }
 
-    /// Adds a chunk; false if it was there, or if there is no such chunk.
+    /// Adds a chunk; `false` if it was present or is out of range.
     pub fn insert(&mut self, chunk: ChunkIndex) -> bool {
         if chunk.0 >= self.chunks || self.contains(chunk) {
             return false;
@@ -55,7 +55,7 @@
         true
     }
 
-    /// Removes a chunk; false if it was not there.
+    /// Removes a chunk; `false` if it was not present.
     pub fn remove(&mut self, chunk: ChunkIndex) -> bool {
         if !self.contains(chunk) {
             return false;
@@ -71,17 +71,17 @@
         chunk.0 < self.chunks && word & (1 << (chunk.0 % WORD_BITS)) != 0
     }
 
-    /// Chunks in the set.
+    /// Number of chunks in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Memory that the field takes, in bytes.
+    /// Memory use of the bitfield in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.words.len() * size_of::<u64>()
     }
 
-    /// Whether every chunk of the manifest is in the set.
+    /// Whether the set contains every chunk of the manifest.
     pub fn is_full(&self) -> bool {
         self.count == self.chunks
     }
@@ -91,23 +91,23 @@
         self.count == 0
     }
 
-    /// Chunks in the manifest.
+    /// Number of chunks in the manifest.
     pub fn chunks(&self) -> u32 {
         self.chunks
     }
 
-    /// The chunks in the set, in order.
+    /// The chunks in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.words.iter().zip(0u32..).flat_map(|(word, nth)| bits(*word, nth * WORD_BITS))
     }
 
-    /// The chunks that are in `union` and not in this set, in order.
+    /// The chunks that are in `union` but not in this set, in ascending order.
     pub fn missing_in<'a>(&'a self, union: &'a [u64]) -> impl Iterator<Item = ChunkIndex> + 'a {
         let pairs = self.words.iter().zip(union).zip(0u32..);
         pairs.flat_map(|((held, there), nth)| bits(there & !held, nth * WORD_BITS))
     }
 
-    /// Adds every chunk of this set to a field of words.
+    /// Adds every chunk of this set to the words of a bitfield.
     pub fn add_to(&self, union: &mut Vec<u64>) {
         union.resize(self.words.len(), 0);
         union.iter_mut().zip(&self.words).for_each(|(there, word)| *there |= word);
--- a/crates/core/src/burst/draws.rs
+++ b/crates/core/src/burst/draws.rs
@@ -1,4 +1,4 @@
-//! Draws from the origin and the store: tickets held here, retries, and the limit on extras.
+//! Draws from the origin and the store: held tickets, retries, and the limit on extra draws.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,22 +10,21 @@
 use super::{DrawPool, DrawTicket, PeerKey};
 use crate::time::Moment;
 
-/// Tickets that travel for the origin: as many chunks leave it at the same time.
+/// Number of origin tickets in circulation, which limits concurrent draws from the origin.
 ///
-/// Two would fill an origin of twice a box's rate, but a drawer's link is shared with what comes
-/// in from peers, so that a draw takes several times as long as the chunk alone would.
+/// Two would saturate an origin of twice a box's rate, but draws share the box's link with downloads
+/// from peers and therefore take several times as long as the chunk alone.
 pub(super) const ORIGIN_TICKETS: u32 = 6;
 
-/// Lane of a draw that makes up for a lost one; it ends with its chunk.
+/// Lane of a ticket that replaces a lost draw. It is not passed on after its chunk.
 pub(super) const REPLACEMENT_LANE: u32 = u32::MAX;
 
-/// Tickets that a transfer begins with; more only keep the first chunks from coming soon.
+/// Number of origin tickets issued at the start. More would only delay the first chunks.
 const FIRST_TICKETS: u32 = 2;
 
-/// First pause after the origin or the store refused or failed; it doubles each time.
+/// Initial backoff after a failed draw from the origin or the store; doubles with each failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest such pause.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Clone, Copy)]
@@ -34,20 +33,20 @@
     failures: u32,
 }
 
-/// How long a ticket's receipt is waited for before the ticket is handed over again.
+/// Time without an acknowledgement after which a ticket is sent again.
 const RECEIPT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a chunk whose ticket was received may stay unknown here, besides the time of the
-/// draws themselves, before the ticket is given to another box.
+/// Time after which an acknowledged ticket is given to another box if its chunk is not known to have
+/// been fetched, in addition to the time of the draws themselves.
 const DRAW_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Draws that may pass until news of a chunk has come around.
+/// Number of draws to allow for until the announcement of a chunk has propagated.
 const DRAWS_UNTIL_NEWS: u32 = 64;
 
-/// Times that one ticket is handed over.
+/// Maximum number of times that a ticket is sent.
 const MAX_HANDOVERS: u32 = 6;
 
-/// A ticket that was handed over, until its chunk is known to exist.
+/// A ticket sent to another box and kept until its chunk is known to be held or offered.
 #[derive(Debug, Clone)]
 struct Handover {
     to: Vec<PeerKey>,
@@ -56,34 +55,34 @@
     tries: u32,
 }
 
-/// A ticket to hand over once more.
+/// A ticket that is due to be sent again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TicketResend {
     pub(super) ticket: DrawTicket,
-    /// Boxes that had it and did not draw; the last one may just not have received it.
+    /// Boxes to which the ticket was sent without result. The last one may not have received it.
     pub(super) failed: Vec<PeerKey>,
-    /// Whether the last of them should have it again.
+    /// Whether to send it to the last of them again.
     pub(super) again: bool,
-    /// Whether nobody seems to be there to take it, as in a domain that is cut off.
+    /// Whether the maximum number of sends is reached, as in a domain that is partitioned off.
     pub(super) exhausted: bool,
 }
 
-/// Tickets that this box holds or has handed over.
+/// Tickets that this box holds or has sent to others.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DrawLedger {
     held: BTreeMap<DrawTicket, HeldTicket>,
-    /// Tickets that were here once: a repeated one must not start a second row of draws.
+    /// All tickets received so far; a duplicate must not start a second sequence of draws.
     seen: BTreeSet<DrawTicket>,
     handed: BTreeMap<DrawTicket, Handover>,
     drawn: u32,
-    /// When the draws last got on.
+    /// When `drawn` last increased.
     advanced: Option<Moment>,
     extras: u32,
     next_extra: Moment,
 }
 
 impl DrawLedger {
-    /// Takes a ticket, unless it was here before.
+    /// Accepts a ticket unless it is a duplicate.
     pub(super) fn take(&mut self, now: Moment, ticket: DrawTicket) {
         self.note_turn(now, ticket);
         if self.seen.insert(ticket) {
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Takes a ticket that this box makes itself, in place of one that was lost.
+    /// Holds a ticket created by this box to replace a lost one.
     pub(super) fn replace_lost(&mut self, now: Moment, ticket: DrawTicket) {
         if ticket.lane != REPLACEMENT_LANE {
             self.note_turn(now, ticket);
@@ -105,18 +104,18 @@
         self.hold(now, ticket);
     }
 
-    /// Takes back a ticket that nobody else would have.
+    /// Takes back a ticket that no other box has used.
     pub(super) fn take_back(&mut self, now: Moment, ticket: DrawTicket) {
         self.handed.remove(&ticket);
         self.hold(now, ticket);
     }
 
-    /// Takes a ticket although it may have been here before.
+    /// Holds a ticket, even if it was received before.
     fn hold(&mut self, now: Moment, ticket: DrawTicket) {
         self.held.entry(ticket).or_insert(HeldTicket { not_before: now, failures: 0 });
     }
 
-    /// A ticket goes to another box.
+    /// Records that a ticket is sent to another box.
     pub(super) fn hand_over(&mut self, now: Moment, ticket: DrawTicket, to: PeerKey) {
         self.note_turn(now, ticket);
         let fresh = Handover { to: Vec::new(), since: now, received: false, tries: 0 };
@@ -129,7 +128,7 @@
         handover.tries += 1;
     }
 
-    /// A box has received a ticket.
+    /// Records that a box acknowledged a ticket.
     pub(super) fn note_receipt(&mut self, now: Moment, ticket: DrawTicket, from: PeerKey) {
         let handover = self.handed.get_mut(&ticket).filter(|one| one.to.last() == Some(&from));
         if let Some(handover) = handover {
@@ -138,12 +137,12 @@
         }
     }
 
-    /// Chunks whose tickets were handed over and are not known to have come.
+    /// Chunks of the tickets sent to other boxes and still tracked.
     pub(super) fn handed_over(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.handed.keys().map(|ticket| ticket.chunk)
     }
 
-    /// Tickets that have to be handed over once more.
+    /// Tickets that are due to be sent again.
     pub(super) fn due_resends(
         &mut self,
         now: Moment,
@@ -165,22 +164,21 @@
         .collect()
     }
 
-    /// Gives a ticket up, to be passed on; false if it was not held.
+    /// Removes a ticket in order to pass it on; `false` if it was not held.
     pub(super) fn release(&mut self, ticket: DrawTicket) -> bool {
         self.held.remove(&ticket).is_some()
     }
 
-    /// Whether any ticket is held.
     pub(super) fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Tickets held, and whether each may be used now.
+    /// Held tickets, and whether the backoff of each has elapsed.
     pub(super) fn tickets(&self, now: Moment) -> Vec<(DrawTicket, bool)> {
         self.held.iter().map(|(ticket, held)| (*ticket, held.not_before <= now)).collect()
     }
 
-    /// A draw failed; its tickets stay here for a later try.
+    /// Delays the tickets of a failed draw, which are kept for a retry.
     pub(super) fn postpone(&mut self, now: Moment, chunk: ChunkIndex, pool: DrawPool) {
         let tickets = self.held.iter_mut();
         for (_, held) in tickets.filter(|(one, _)| one.chunk == chunk && one.pool == pool) {
@@ -190,7 +188,7 @@
         }
     }
 
-    /// Notes that the draws have come to `drawn` chunks.
+    /// Records that `drawn` chunks have had their draws scheduled, if that is an increase.
     pub(super) fn advance(&mut self, now: Moment, drawn: u32) {
         if drawn > self.drawn {
             self.drawn = drawn;
@@ -198,40 +196,41 @@
         }
     }
 
-    /// Chunks that have had their turn to be drawn, as far as is known.
+    /// Number of chunks whose origin draw has been scheduled, as far as is known.
     ///
-    /// Only tickets tell: that a chunk exists says nothing where versions share chunks.
+    /// Derived from tickets only: a chunk can be held without having been drawn, because versions
+    /// share chunks.
     pub(super) fn drawn(&self) -> u32 {
         self.drawn
     }
 
-    /// Whether `chunk` should have come by now, judging by draws after it.
+    /// Whether draws have progressed so far past `chunk` that it should be available.
     pub(super) fn is_passed(&self, chunk: ChunkIndex) -> bool {
         self.drawn > chunk.0 + 2 * ORIGIN_TICKETS
     }
 
-    /// Time since the draws last got on, counted from `begun` if they never have.
+    /// Time since draws last progressed, counted from `begun` if they have not yet.
     pub(super) fn stalled(&self, now: Moment, begun: Moment) -> Duration {
         now.since(self.advanced.unwrap_or(begun))
     }
 
-    /// Whether one more draw beyond the first copy is due, of `most` in all.
+    /// Whether an extra draw, beyond the first copy of a chunk, is due; at most `most` are allowed.
     pub(super) fn is_extra_due(&self, now: Moment, most: u32) -> bool {
         self.extras < most && now >= self.next_extra
     }
 
-    /// Counts a draw beyond the first copy; the next is due after `gap`.
+    /// Counts an extra draw; the next is due after `gap`.
     pub(super) fn take_extra(&mut self, now: Moment, gap: Duration) {
         self.extras += 1;
         self.next_extra = now + gap;
     }
 
-    /// Puts off the first extra draw.
+    /// Delays the next extra draw at least until `until`.
     pub(super) fn delay_extras(&mut self, until: Moment) {
         self.next_extra = self.next_extra.max(until);
     }
 
-    /// The ticket after `ticket` in its pool's order, if there is one.
+    /// The successor of `ticket` in the order of its pool, if any.
     pub(super) fn next(ticket: DrawTicket, chunks: u32) -> Option<DrawTicket> {
         let chunk = match ticket.pool {
             _ if ticket.lane == REPLACEMENT_LANE => None,
@@ -241,7 +240,7 @@
         Some(DrawTicket { chunk: ChunkIndex(chunk), ..ticket })
     }
 
-    /// The further ticket that the end of an early draw sets off, until all are on their way.
+    /// The additional ticket issued when an early draw ends, until [`ORIGIN_TICKETS`] are in circulation.
     pub(super) fn add_lane(ticket: DrawTicket, chunks: u32) -> Option<DrawTicket> {
         let lane = ticket.lane.saturating_add(FIRST_TICKETS);
         let chunk = ticket.chunk.0 + FIRST_TICKETS;
@@ -253,7 +252,7 @@
         })
     }
 
-    /// The tickets that a transfer of `chunks` chunks begins with.
+    /// The initial tickets of a transfer of `chunks` chunks.
     pub(super) fn first(chunks: u32, store: bool) -> Vec<DrawTicket> {
         let pool = DrawPool::Origin;
         let origin = (0..FIRST_TICKETS.min(chunks)).map(|lane| DrawTicket {
--- a/crates/core/src/burst/fetching.rs
+++ b/crates/core/src/burst/fetching.rs
@@ -1,4 +1,4 @@
-//! What a planner starts: draws, imports, asks of neighbours.
+//! Selection of fetches to start: draws, imports, and requests to neighbours.
 
 use headlatch_types::{ChunkIndex, fleet::BurstPreference};
 use rand::{Rng, seq::IteratorRandom};
@@ -11,23 +11,23 @@
 };
 use crate::time::Moment;
 
-/// Random chunks of which the rarest is asked for.
+/// Number of randomly sampled chunks of which the rarest is requested.
 const SAMPLE: usize = 16;
 
-/// Chunks over whose time the rate of arrivals is taken.
+/// Number of chunks in the window over which the arrival rate is measured.
 pub(super) const RATE_CHUNKS: usize = 32;
 
-/// A box that gets less than this part of what its link could carry may draw extra chunks.
+/// A box whose download link is utilised below this percentage may make extra draws.
 const UNDERUTILIZED_PERCENT: usize = 85;
 
-/// Assigned chunks that are drawn at the same time while the origin keeps its rate.
+/// Number of assigned chunks drawn concurrently while the origin keeps its configured rate.
 pub(super) const DRAWS_AT_ONCE: u32 = 8;
 
-/// Copies that may leave the origin under [`BurstPreference::Time`].
+/// Maximum average number of copies of a chunk that the origin sends under [`BurstPreference::Time`].
 const MAX_ORIGIN_COPIES: u32 = 4;
 
 impl SwarmPlanner {
-    /// Starts whatever can be started now.
+    /// Starts all fetches that are possible now.
     pub(super) fn start_fetches(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         if self.superseded {
             return;
@@ -70,16 +70,16 @@
         }
     }
 
-    /// Whether a chunk is coming from the origin.
+    /// Whether a draw from the origin is in progress.
     pub(super) fn is_drawing(&self) -> bool {
         self.open.values().any(|fetch| fetch.source == ChunkSource::Origin)
     }
 
-    /// Draws the next chunk that falls to this box, unless one is being drawn.
+    /// Draws the next chunk assigned to this box, unless a draw is in progress.
     ///
-    /// A box that dies leaves its chunks to those that the next list of seats names. Chunks beyond the
-    /// window wait: boxes that all drew at once after an outage would share the origin's link so finely
-    /// that no draw came to its end.
+    /// The chunks of a failed box are reassigned with the next list of peers. Chunks beyond the window
+    /// wait: if all boxes drew at once after an outage, each draw would get so little of the origin's
+    /// bandwidth that none would complete.
     fn draw_assigned(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         if self.complete || !self.window.is_open(now) || self.is_drawing() {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The first chunk that falls to this box and may be drawn now.
+    /// The first chunk that is assigned to this box and may be drawn now.
     fn next_assigned(&self, now: Moment) -> Option<ChunkIndex> {
         let own = self.topology.local().key;
         let missing = (0..self.settings.chunks).map(ChunkIndex).filter(|chunk| {
@@ -102,8 +102,8 @@
         due.find(|chunk| self.topology.drawer(*chunk) == own)
     }
 
-    /// Those of the missing chunks that all boxes together may draw now. Chunks that are overdue take no
-    /// place: their drawers may never begin, and would keep all that follows from being drawn.
+    /// The missing chunks that fit into the draw window shared by all boxes. Overdue chunks do not count
+    /// towards the window: their drawers may never start, and would block the draws of all later chunks.
     pub(super) fn within_window(
         &self,
         missing: impl Iterator<Item = ChunkIndex>,
@@ -117,8 +117,9 @@
         })
     }
 
-    /// From when on an assigned chunk may be drawn: a few are drawn at the same time, so that the first
-    /// come soon and spread while the others are drawn. Once the origin has failed the window alone tells.
+    /// Earliest time at which an assigned chunk may be drawn. Only a few are drawn concurrently, so that the
+    /// first arrive early and spread while the others are drawn. After a failure of the origin only the
+    /// draw window applies.
     pub(super) fn draw_slot(&self, chunk: ChunkIndex) -> Moment {
         if self.window.has_failed() {
             return self.started;
@@ -126,7 +127,7 @@
         self.started + self.settings.origin_chunk_time * chunk.0.saturating_sub(DRAWS_AT_ONCE)
     }
 
-    /// Hands a ticket to the drawer of the next chunk that is not known to be drawn.
+    /// Passes a ticket on to the drawer of the next chunk that is not known to be available.
     pub(super) fn forward_ticket(
         &mut self,
         now: Moment,
@@ -180,10 +181,10 @@
         }
     }
 
-    /// The rarest of a few random chunks on offer that are neither held nor on their way.
+    /// The rarest of a random sample of available chunks that are neither held nor being fetched.
     ///
-    /// The rarest of all would send every box of a domain to the one or two that hold it, while
-    /// the others have nothing to send.
+    /// With the globally rarest chunk, all boxes of a domain would send requests to its one or two
+    /// holders while the others are idle.
     pub(super) fn rarest(&mut self, available: &[u64]) -> Option<ChunkIndex> {
         let open = &self.open;
         let candidates = self.held.missing_in(available).filter(|chunk| !open.contains_key(chunk));
@@ -191,10 +192,10 @@
         sample.into_iter().min_by_key(|chunk| self.peers.copies(*chunk))
     }
 
-    /// Under [`BurstPreference::Time`], lets an idle origin help boxes that peers cannot fill.
+    /// Under [`BurstPreference::Time`], starts extra draws if peers do not saturate this box's link.
     ///
-    /// The origin is idle once every chunk has left it. A box whose own link is full has no use
-    /// for a further source, so that this costs nothing where it would gain nothing.
+    /// The origin is idle once every chunk has been drawn. A box whose link is saturated would not
+    /// benefit from another source and makes no extra draws.
     pub(super) fn use_extras(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         let drawn = self.draws.drawn() >= self.settings.chunks;
         if self.settings.prefer != BurstPreference::Time || !drawn || !self.is_underutilized(now) {
@@ -210,7 +211,7 @@
             |chunk: &ChunkIndex| !self.held.contains(*chunk) && !self.open.contains_key(chunk);
         let wanted: Vec<ChunkIndex> =
             (0..self.settings.chunks).map(ChunkIndex).filter(missing).collect();
-        // Near the end a draw that shares the origin with many others would be the last to come.
+        // Near the end, a draw that shares the origin with many others would complete last.
         if wanted.len() <= 2 * self.settings.pipeline {
             return;
         }
@@ -219,7 +220,7 @@
         self.fetch(now, chunk, ChunkSource::Origin, actions);
     }
 
-    /// Whether chunks have lately come in clearly more slowly than this box's link could carry.
+    /// Whether the recent arrival rate is clearly below the capacity of this box's link.
     pub(super) fn is_underutilized(&self, now: Moment) -> bool {
         let window = self.settings.chunk_time * RATE_CHUNKS as u32;
         if now.since(self.started) < window * 2 {
--- a/crates/core/src/burst/imports.rs
+++ b/crates/core/src/burst/imports.rs
@@ -1,4 +1,4 @@
-//! Chunks that this box should bring into its domain: offers, and what to do when none comes.
+//! Chunks that this box should import into its domain: offers, and recovery if no offer arrives.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -10,27 +10,27 @@
 use super::{PeerKey, PeerTopology, SwarmTimings};
 use crate::time::Moment;
 
-/// Chunks that may have to go out before one that is to be imported.
+/// Number of chunk transfers to allow for before that of an imported chunk.
 const CHUNKS_BEFORE: u32 = 16;
 
-/// A chunk that its domain lacks although others should have it.
+/// A chunk that is missing in this domain although it should be available.
 #[derive(Debug, Clone, Copy)]
 struct Overdue {
     since: Moment,
     last_sought: Option<Moment>,
 }
 
-/// What is to be done about an overdue chunk.
+/// Recovery action for an overdue chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Recovery {
-    /// Ask other domains.
+    /// Query other domains.
     Seek(ChunkIndex),
-    /// Draw it, whoever should have.
+    /// Draw it, even if it is assigned to another box.
     Draw(ChunkIndex),
 }
 
 impl Recovery {
-    /// The chunk that is lacking.
+    /// The missing chunk.
     pub(super) fn chunk(self) -> ChunkIndex {
         match self {
             Self::Seek(chunk) | Self::Draw(chunk) => chunk,
@@ -38,27 +38,28 @@
     }
 }
 
-/// Offers at hand and chunks overdue.
+/// Pending offers and overdue chunks.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ImportTracker {
     offers: BTreeMap<ChunkIndex, VecDeque<PeerKey>>,
-    /// This box's rank for every chunk, and its domain's. All boxes of a domain answer for a chunk,
-    /// one after the other: any number of those before this one may never begin.
+    /// For every chunk, the rank of this box within its domain and the rank of the domain. All boxes of
+    /// a domain are responsible for a chunk, one after the other, because any number of higher-ranked
+    /// boxes may never start.
     assignments: Vec<(ChunkIndex, usize, usize)>,
     overdue: BTreeMap<ChunkIndex, Overdue>,
-    /// Boxes that look for a chunk which this box does not hold yet.
+    /// Boxes that queried a chunk which this box does not hold yet.
     seekers: BTreeMap<ChunkIndex, BTreeSet<PeerKey>>,
 }
 
 impl ImportTracker {
-    /// Works out anew after how many others this box answers for each chunk.
+    /// Recomputes this box's rank for each chunk.
     pub(super) fn assign(&mut self, topology: &PeerTopology, chunks: u32) {
         let assignment =
             |chunk| (chunk, topology.importer_rank(chunk), topology.domain_rank(chunk));
         self.assignments = (0..chunks).map(ChunkIndex).map(assignment).collect();
     }
 
-    /// Takes in an offer.
+    /// Stores an offer.
     pub(super) fn offer(&mut self, chunk: ChunkIndex, from: PeerKey) {
         let offers = self.offers.entry(chunk).or_default();
         if !offers.contains(&from) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The first offer for a chunk that `wanted` accepts.
+    /// Removes and returns the first offer for a chunk that `wanted` accepts.
     pub(super) fn accept(
         &mut self,
         wanted: impl Fn(ChunkIndex) -> bool,
@@ -80,7 +81,6 @@
         peer.map(|peer| (chunk, peer))
     }
 
-    /// Drops every offer of a box.
     pub(super) fn forget(&mut self, from: PeerKey) {
         self.offers.retain(|_, offers| {
             offers.retain(|other| *other != from);
@@ -88,40 +88,40 @@
         });
     }
 
-    /// Whether anyone has offered the chunk.
+    /// Whether there is an offer of the chunk.
     pub(super) fn is_offered(&self, chunk: ChunkIndex) -> bool {
         self.offers.contains_key(&chunk)
     }
 
-    /// A box looks for a chunk that is not here yet.
+    /// Records a query for a chunk that this box does not hold yet.
     pub(super) fn remember_seeker(&mut self, chunk: ChunkIndex, from: PeerKey) {
         self.seekers.entry(chunk).or_default().insert(from);
     }
 
-    /// The chunk has come: forgets it and returns who was looking for it.
+    /// Clears the state of a chunk that has arrived and returns the boxes that queried it.
     pub(super) fn resolve(&mut self, chunk: ChunkIndex) -> BTreeSet<PeerKey> {
         self.offers.remove(&chunk);
         self.overdue.remove(&chunk);
         self.seekers.remove(&chunk).unwrap_or_default()
     }
 
-    /// After how many others of its domain this box answers for a chunk.
+    /// Rank of this box among its domain's importers of a chunk, 0 for the first.
     pub(super) fn rank(&self, chunk: ChunkIndex) -> usize {
         self.assignments.get(chunk.0 as usize).map_or(0, |(_, rank, _)| *rank)
     }
 
-    /// Whether a chunk is lacking although others should have it.
+    /// Whether a chunk is overdue in this domain.
     pub(super) fn is_overdue(&self, chunk: ChunkIndex) -> bool {
         self.overdue.contains_key(&chunk)
     }
 
-    /// Counts the time for which chunks are lacking anew: the origin has failed this box, and may have
-    /// failed those that should have drawn them.
+    /// Restarts the waiting time of all overdue chunks after a failed draw, since the origin may also have
+    /// failed the boxes to which those chunks are assigned.
     pub(super) fn restart_waits(&mut self, now: Moment) {
         self.overdue.values_mut().for_each(|overdue| overdue.since = now);
     }
 
-    /// Remedies that are due, for chunks that `lacking` reports as overdue in this domain.
+    /// Recovery actions that are due for the chunks for which `is_missing` returns true.
     pub(super) fn due_recoveries(
         &mut self,
         now: Moment,
--- a/crates/core/src/burst/maintenance.rs
+++ b/crates/core/src/burst/maintenance.rs
@@ -1,5 +1,5 @@
-//! What a planner does as time passes: gives up what is slow, repeats what may be lost, looks
-//! after what is overdue.
+//! Periodic work of a planner: cancels slow fetches, resends messages that may be lost, and recovers
+//! overdue chunks.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 };
 use crate::time::Moment;
 
-/// How much longer a sender bears a slow transfer than its receiver does.
+/// Multiplier of the transfer timeout on the sending side, relative to the receiving side.
 const UPLOAD_TIMEOUT_FACTOR: u32 = 3;
 
-/// Chunks that have come after one that has not, from which on that one's draw counts as lost: draws
-/// that share a link do not end in the order in which they began.
+/// Number of later chunks that must have arrived for a missing chunk's draw to count as lost. Draws that
+/// share a link do not complete in the order in which they started.
 const CHUNKS_AHEAD: u32 = 8;
 
-/// Part of the chunks of which fewer are missing when a transfer is about to end, in percent.
+/// A transfer is about to end when less than this percentage of its chunks is missing.
 const ENDING_PERCENT: u32 = 15;
 
-/// Boxes of a domain that look after the same chunk while nothing comes: more would ask an origin that
-/// is down, and all draw the same chunks when it is back.
+/// Number of boxes per domain that may redraw the same chunk while no chunk arrives. More would poll an
+/// origin that is down, and all would draw the same chunks when it recovers.
 const STALLED_RANKS: usize = 2;
 
 impl SwarmPlanner {
@@ -37,7 +37,7 @@
             if self.bitfield_due == self.started + self.settings.timings.bitfield_interval
                 && !self.complete
             {
-                // Once more, for those who began after this box.
+                // Repeated once for boxes that started after this one.
                 self.offer_held(actions);
             }
             self.bitfield_due = now + self.settings.timings.bitfield_interval;
@@ -53,7 +53,7 @@
         self.start_fetches(now, actions);
     }
 
-    /// Gives up fetches that take too long.
+    /// Cancels fetches that take too long.
     pub(super) fn cancel_slow(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         let slow: Vec<(ChunkIndex, OpenFetch)> = self
             .open
@@ -68,7 +68,7 @@
             actions.push(SwarmAction::Cancel { chunk, source: fetch.source });
             self.close_fetch(chunk, fetch.source);
             match fetch.source {
-                // A box that was heard of lately is only busy, however long it takes.
+                // A box that was heard from recently is busy rather than unreachable.
                 ChunkSource::Peer(peer)
                     if fetch.started.is_none() && self.peers.is_heard(now, peer) =>
                 {
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Longest time that a chunk on its way between two boxes should take.
+    /// Transfer timeout of a chunk between two boxes.
     pub(super) fn longest_transfer(&self) -> Duration {
         let chunk_time = self.settings.chunk_time.max(self.settings.origin_chunk_time);
         chunk_time * (4 * self.settings.uploads as u32) + self.settings.timings.min_timeout
     }
 
-    /// Whether a fetch takes too long. Draws are left alone: a crowded origin is slow to all, and
-    /// to break off and begin again would make it slower; one that stands still fails by itself.
+    /// Whether a fetch has exceeded its timeout. Draws are never slow: an overloaded origin is slow for
+    /// all boxes, and restarting draws would add load; a draw that stalls fails by itself.
     pub(super) fn is_slow(&self, now: Moment, fetch: &OpenFetch) -> bool {
         if !matches!(fetch.source, ChunkSource::Peer(_)) {
             return false;
@@ -103,8 +103,8 @@
         now.since(fetch.started.unwrap_or(fetch.asked)) > limit * self.timeout_factor
     }
 
-    /// Whether a neighbour that was asked has not begun to send and has gone silent: it may have
-    /// stopped for good.
+    /// Whether a neighbour has neither started to send the requested chunk nor been heard from within the
+    /// silence timeout, and is therefore presumed gone.
     fn is_silent(&self, now: Moment, fetch: &OpenFetch) -> bool {
         let ChunkSource::Peer(peer) = fetch.source else { return false };
         let waited = now.since(fetch.asked) >= self.settings.timings.silence_timeout;
@@ -112,7 +112,7 @@
         waited && !begun && self.peers.contains(peer) && !self.peers.is_heard(now, peer)
     }
 
-    /// Looks after chunks that should have come into this domain and have not.
+    /// Recovers chunks that are overdue in this domain.
     pub(super) fn recover_overdue(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         if self.complete || self.superseded {
             return;
@@ -136,7 +136,7 @@
         let due = self.imports.due_recoveries(now, patience, self.settings.timings, |chunk| {
             missing.binary_search(&chunk).is_ok()
         });
-        // What has been asked for may come yet, but the time without it counts.
+        // Chunks already requested or offered need no recovery yet, but the time they are missing counts.
         let is_pending = |recovery: &Recovery| pending.binary_search(&recovery.chunk()).is_ok();
         for recovery in due.into_iter().filter(|recovery| !is_pending(recovery)) {
             self.apply(now, recovery, actions);
@@ -160,10 +160,10 @@
                     self.fetch(now, chunk, ChunkSource::Origin, actions);
                 }
             }
-            // One at a time: a crowd of draws would only take each other's rate.
+            // One at a time, since concurrent draws would share the same bandwidth.
             Recovery::Draw(_) if !self.draws.is_empty() => {}
             Recovery::Draw(chunk) => {
-                // A draw past the others' front takes the place of a ticket that has been lost.
+                // If regular draws have not progressed past this chunk, a ticket was lost and is replaced.
                 let lost = !self.draws.is_passed(chunk);
                 let lane = if lost { chunk.0 % ORIGIN_TICKETS } else { REPLACEMENT_LANE };
                 let ticket = DrawTicket { chunk, pool: DrawPool::Origin, lane };
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Hands tickets over again whose receipt or whose chunk has not been heard of.
+    /// Resends tickets that were not acknowledged or whose chunk did not become available.
     pub(super) fn resend_tickets(&mut self, now: Moment, actions: &mut Vec<SwarmAction>) {
         let handed: Vec<ChunkIndex> = self.draws.handed_over().collect();
         let known: Vec<ChunkIndex> =
@@ -206,7 +206,7 @@
         actions.push(SwarmAction::SendNote { to: drawer, note: SwarmNote::Ticket(ticket) });
     }
 
-    /// How long a domain bears the lack of a chunk before it draws the chunk again.
+    /// Time for which a domain may lack a chunk before it draws the chunk again.
     pub(super) fn redraw_delay(&self) -> Duration {
         let usual = match self.settings.prefer {
             BurstPreference::Time => Duration::from_secs(3),
@@ -215,9 +215,9 @@
         self.settings.timings.redraw_delay.unwrap_or(usual)
     }
 
-    /// Assigned chunks that their drawers seem not to bring, oldest first: many later ones have come, nothing
-    /// has come for long, or nearly all are here. The clock alone does not tell: an origin that is slow or
-    /// was down is slow to all, and chunks drawn a second time would make it slower.
+    /// Assigned chunks whose drawers appear to have failed, in order: many later chunks have arrived, no
+    /// chunk has arrived for a long time, or nearly all others are available. Elapsed time alone is no
+    /// criterion: an origin that is slow or was down delays all draws, and redraws would slow it further.
     fn overdue_assigned(&self, now: Moment) -> Vec<ChunkIndex> {
         let is_here = |chunk: &ChunkIndex| {
             self.held.contains(*chunk) || self.peers.is_held_nearby(now, *chunk)
@@ -238,17 +238,17 @@
         overdue.collect()
     }
 
-    /// When an assigned chunk should have been drawn by an origin that keeps its rate.
+    /// Expected completion of an assigned draw at the origin's configured rate.
     fn draw_end(&self, chunk: ChunkIndex) -> Moment {
         self.draw_slot(chunk) + self.settings.origin_chunk_time * (2 * DRAWS_AT_ONCE)
     }
 
-    /// How long nothing may come while assigned chunks are missing and the origin does not fail.
+    /// Time without arrivals or origin failures after which draws of assigned chunks count as stalled.
     fn stalled_timeout(&self) -> Duration {
         self.settings.origin_chunk_time * CHUNKS_AHEAD + self.settings.timings.seek_delay
     }
 
-    /// How long the draw order may stand still before it is taken to have been lost.
+    /// Time without progress of ticketed draws after which tickets count as lost.
     pub(super) fn schedule_stall_timeout(&self) -> Duration {
         self.redraw_delay() + self.settings.origin_chunk_time * (8 * ORIGIN_TICKETS)
     }
--- a/crates/core/src/burst/mod.rs
+++ b/crates/core/src/burst/mod.rs
@@ -1,8 +1,10 @@
-//! The transfer of one manifest's weights to many boxes: who fetches which chunk from whom.
+//! Peer-to-peer distribution of one manifest's weights: decides which box fetches which chunk from
+//! which source.
 //!
-//! Each box runs one [`SwarmPlanner`] per manifest. It knows only what it was told: the list of
-//! boxes that take part, which may lag, and notes from other boxes, which may be late or lost.
-//! How the parts act together, and what was weighed, stands in `docs/decisions/0002-burst.md`.
+//! Each box runs one [`SwarmPlanner`] per manifest. Its input is the list of participating boxes,
+//! which may be stale, and notes from other boxes, which may be delayed or lost. A *draw* is a fetch
+//! from the origin or the weight store, as opposed to one from a peer. The design and its alternatives
+//! are described in `docs/decisions/0002-burst.md`.
 
 mod chunks;
 mod draw_window;
@@ -23,10 +25,10 @@
 pub use planner::{SwarmPlanner, SwarmProgress};
 pub use topology::{PeerKey, PeerLocation, PeerTopology};
 
-/// Where a chunk is fetched from.
+/// Source of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ChunkSource {
-    /// The origin of weights.
+    /// The weight origin.
     Origin,
     /// The rate-limited weight store.
     Store,
@@ -34,60 +36,60 @@
     Peer(PeerKey),
 }
 
-/// Why a fetch did not bring its chunk.
+/// Reason for a failed fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FetchFailure {
-    /// The bytes did not match their digest.
+    /// The data did not match its digest.
     Corrupt,
-    /// The source has too much to do at the moment.
+    /// The source is temporarily overloaded.
     Busy,
     /// The source does not have the chunk.
     Absent,
-    /// The source could not be reached, or broke off.
+    /// The source could not be reached, or closed the connection mid-transfer.
     Unreachable,
 }
 
-/// What a box says of itself with every note.
+/// Sender state that accompanies every note.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Requests that wait at it.
+    /// Requests queued at the sender.
     pub queue: u32,
-    /// Chunks that have had their turn to be drawn from the origin, as far as it knows.
+    /// Number of chunks whose origin draw has been scheduled, as far as the sender knows.
     pub drawn: u32,
 }
 
-/// A note from one box to another about one manifest's weights.
+/// A message between two boxes about one manifest's weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwarmNote {
-    /// The sender holds these chunks as well.
+    /// The sender now also holds these chunks.
     Have(Vec<ChunkIndex>),
     /// All chunks that the sender holds.
     Bitfield(ChunkSet),
-    /// The receiver may draw the chunk at this position from this source.
+    /// Grants the receiver permission to draw this chunk from this source.
     Ticket(DrawTicket),
-    /// The sender has received this ticket.
+    /// Acknowledges receipt of a ticket.
     TicketReceived(DrawTicket),
-    /// The sender holds this chunk, which the receiver should bring into its domain.
+    /// The sender holds this chunk, which the receiver should import into its failure domain.
     Offer(ChunkIndex),
-    /// The sender's domain lacks this chunk; whoever holds it should offer it.
+    /// The sender's failure domain lacks this chunk; a holder should answer with an offer.
     Seek(ChunkIndex),
 }
 
-/// Leave to draw one chunk from the origin or the store.
+/// Permission to draw one chunk from the origin or the store.
 ///
-/// Tickets keep the order of draws: a few travel from drawer to drawer, so that chunks leave a
-/// source one after another at its full rate instead of all at once and slowly.
+/// Tickets limit concurrent draws: a small number are passed from box to box, so that a source sends
+/// chunks one after another at its full rate instead of many at once at a low rate each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct DrawTicket {
-    /// Chunk to draw; origin tickets travel upwards, store tickets downwards.
+    /// Chunk to draw. Origin tickets move to higher chunk numbers, store tickets to lower ones.
     pub chunk: ChunkIndex,
-    /// Which source it is for.
+    /// Source to draw from.
     pub pool: DrawPool,
-    /// Number of the ticket among those of its pool, by which a repeated one is known.
+    /// Number of the ticket within its pool, used to recognise duplicates.
     pub lane: u32,
 }
 
-/// A source that is drawn from by ticket.
+/// A source whose draws are limited by tickets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DrawPool {
     /// The origin.
@@ -97,7 +99,7 @@
 }
 
 impl DrawPool {
-    /// The source behind the pool.
+    /// The chunk source of this pool.
     pub fn source(self) -> ChunkSource {
         match self {
             Self::Origin => ChunkSource::Origin,
@@ -106,65 +108,65 @@
     }
 }
 
-/// What a planner is told.
+/// Input to a planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwarmEvent {
-    /// The boxes that take part, this one among them, as far as is known.
+    /// Known participants, including this box.
     Peers(Vec<PeerLocation>),
-    /// A note came.
+    /// A note was received.
     Note {
-        /// Who sent it.
+        /// Sender.
         from: PeerKey,
-        /// What it says.
+        /// Content.
         note: SwarmNote,
-        /// What the sender says besides.
+        /// State of the sender.
         status: PeerStatus,
     },
-    /// A box asks for a chunk.
+    /// A box requested a chunk.
     Requested {
-        /// Who asks.
+        /// Requesting box.
         from: PeerKey,
-        /// For what.
+        /// Requested chunk.
         chunk: ChunkIndex,
-        /// Chunks that it holds.
+        /// Number of chunks that it holds.
         held: u32,
     },
-    /// A box no longer wants what it asked for.
+    /// A box cancelled its request.
     RequestCancelled {
-        /// Who asked.
+        /// Requesting box.
         from: PeerKey,
-        /// For what.
+        /// Requested chunk.
         chunk: ChunkIndex,
     },
-    /// A box that was granted a chunk has no room for it now.
+    /// A box deferred a granted upload because its downloads are at their limit.
     GrantDeferred {
-        /// Who asked.
+        /// Requesting box.
         from: PeerKey,
-        /// For what.
+        /// Requested chunk.
         chunk: ChunkIndex,
     },
-    /// A box that passed has room again.
+    /// A box that deferred a grant can now receive the chunk.
     GrantResumed {
-        /// Who asked.
+        /// Requesting box.
         from: PeerKey,
-        /// For what.
+        /// Requested chunk.
         chunk: ChunkIndex,
     },
-    /// A granted chunk has gone out, or its transfer has broken off.
+    /// The upload of a granted chunk completed or was aborted.
     Sent {
-        /// Who asked.
+        /// Requesting box.
         to: PeerKey,
-        /// For what.
+        /// Requested chunk.
         chunk: ChunkIndex,
     },
-    /// A box is ready to send a chunk that was asked of it.
+    /// A source granted this box's request and is ready to send.
     Granted {
         /// The chunk.
         chunk: ChunkIndex,
         /// Its source.
         source: ChunkSource,
     },
-    /// A fetch brought a chunk, and its digest fits.
+    /// A fetch completed and the chunk matched its digest.
     Verified {
         /// The chunk.
         chunk: ChunkIndex,
@@ -177,121 +179,122 @@
         chunk: ChunkIndex,
         /// Its source.
         source: ChunkSource,
-        /// Why.
+        /// Reason.
         failure: FetchFailure,
     },
-    /// A box could not be reached with a note.
+    /// A note could not be delivered to this box.
     PeerUnreachable(PeerKey),
-    /// Another version is wanted now: nothing more is fetched, and what is here is still sent.
+    /// Another version replaces this one: fetches stop, but held chunks are still uploaded.
     Superseded,
-    /// Some time has passed; due about every [`TICK`].
+    /// Periodic timer, expected about every [`SwarmTimings::tick`].
     Tick,
 }
 
-/// How often a planner wants [`SwarmEvent::Tick`].
+/// Default interval between [`SwarmEvent::Tick`] events.
 pub const TICK: Duration = Duration::from_millis(200);
 
-/// What a planner wants done.
+/// Output of a planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwarmAction {
     /// Fetch a chunk.
     Fetch {
         /// The chunk.
         chunk: ChunkIndex,
-        /// From where.
+        /// Its source.
         source: ChunkSource,
     },
-    /// Break off a fetch; no event about it is due any more.
+    /// Abort a fetch; no further event is expected for it.
     Cancel {
         /// The chunk.
         chunk: ChunkIndex,
-        /// From where.
+        /// Its source.
         source: ChunkSource,
     },
-    /// Let a box begin to send a chunk whose turn has come.
+    /// Accept a granted chunk, so that the source starts sending it.
     AcceptGrant {
         /// The chunk.
         chunk: ChunkIndex,
-        /// From where.
+        /// Its source.
         source: ChunkSource,
     },
-    /// Let a box know that there is no room for a chunk whose turn has come.
+    /// Defer a granted chunk because downloads are at their limit.
     DeferGrant {
         /// The chunk.
         chunk: ChunkIndex,
-        /// From where.
+        /// Its source.
         source: ChunkSource,
     },
-    /// Let a box know that there is room again for a chunk that was passed.
+    /// Tell a source that a deferred chunk can now be received.
     ResumeGrant {
         /// The chunk.
         chunk: ChunkIndex,
-        /// From where.
+        /// Its source.
         source: ChunkSource,
     },
-    /// Tell an asker that its turn has come; it takes the chunk or passes.
+    /// Grant a request; the requesting box accepts or defers it.
     Grant {
-        /// To whom.
+        /// Requesting box.
         to: PeerKey,
-        /// What.
+        /// Requested chunk.
         chunk: ChunkIndex,
     },
-    /// Tell an asker that it will not get the chunk from here now.
+    /// Refuse a request.
     Refuse {
-        /// Whom.
+        /// Requesting box.
         to: PeerKey,
-        /// What.
+        /// Requested chunk.
         chunk: ChunkIndex,
-        /// Why.
+        /// Reason.
         failure: FetchFailure,
     },
-    /// Hand over a note.
+    /// Send a note.
     SendNote {
-        /// To whom.
+        /// Receiver.
         to: PeerKey,
-        /// What.
+        /// Content.
         note: SwarmNote,
     },
-    /// Every chunk is here and verified.
+    /// All chunks are held and verified.
     Complete,
 }
 
-/// How boxes come to draw chunks from the origin.
+/// How draws from the origin are distributed over the boxes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum DrawMode {
-    /// A few tickets travel from drawer to drawer: for more boxes than the origin could serve at
-    /// once.
+    /// A limited number of tickets is passed between boxes. For fleets larger than the origin can
+    /// serve concurrently.
     #[default]
     Tickets,
-    /// Every box draws the chunks that fall to it by rendezvous hashing, one at a time: for bursts
-    /// so short that the handing over of tickets would take longer than the draws.
+    /// Every box draws the chunks assigned to it by rendezvous hashing, one at a time. For bursts so
+    /// short that passing tickets would take longer than the draws.
     Assigned,
 }
 
-/// Pauses and patience of a planner.
+/// Intervals and timeouts of a planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwarmTimings {
-    /// How often the planner wants [`SwarmEvent::Tick`].
+    /// Interval between [`SwarmEvent::Tick`] events.
     pub tick: Duration,
-    /// How often the whole field is sent again, against lost notes.
+    /// Interval at which the full bitfield is resent, to recover from lost notes.
     pub bitfield_interval: Duration,
-    /// How long fresh chunks wait to be told of together.
+    /// Interval over which new chunks are batched into one announcement.
     pub announce_interval: Duration,
-    /// Added to every limit on waiting, whatever the chunk's size.
+    /// Constant part of the transfer timeout, independent of the chunk size.
     pub min_timeout: Duration,
-    /// How long a box waits for each rank above it, besides the time that chunks take.
+    /// Time that a box waits per higher-ranked importer before it takes over, in addition to the
+    /// transfer times of chunks.
     pub rank_timeout: Duration,
-    /// How long the lack of a chunk is borne before it is looked for elsewhere, besides the time
-    /// that chunks take.
+    /// Time for which a chunk may be overdue before other domains are queried for it, in addition to
+    /// the transfer times of chunks.
     pub seek_delay: Duration,
-    /// Pause between two searches for the same chunk.
+    /// Interval between queries for the same chunk.
     pub seek_interval: Duration,
-    /// How long a domain bears the lack of a chunk before it draws it again; by the preference if
-    /// none.
+    /// Time for which a domain may lack a chunk before it draws the chunk again; derived from
+    /// [`SwarmSettings::prefer`] if `None`.
     pub redraw_delay: Option<Duration>,
-    /// A box that says nothing for this long may be gone: what only it holds counts as lacking.
+    /// A box not heard from for this long is presumed gone; chunks held only by it count as missing.
     pub silence_timeout: Duration,
-    /// First pause after a box proved slow or out of reach; it doubles each time.
+    /// Initial backoff after a box was slow or unreachable; doubles with each failure.
     pub initial_backoff: Duration,
 }
 
@@ -313,7 +316,7 @@
 }
 
 impl SwarmTimings {
-    /// The pace of bursts that last a few seconds.
+    /// Timings for bursts that last a few seconds.
     pub fn short_burst() -> Self {
         Self {
             tick: Duration::from_millis(50),
@@ -333,36 +336,36 @@
 /// Settings of one planner.
 #[derive(Debug, Clone)]
 pub struct SwarmSettings {
-    /// What to spare.
+    /// Whether to optimise for time or for origin traffic.
     pub prefer: BurstPreference,
-    /// Chunks in the manifest.
+    /// Number of chunks in the manifest.
     pub chunks: u32,
-    /// Time one chunk takes over this box's link.
+    /// Transfer time of one chunk over this box's link.
     pub chunk_time: Duration,
-    /// Time one chunk takes over the origin's link.
+    /// Transfer time of one chunk over the origin's link.
     pub origin_chunk_time: Duration,
     /// Whether there is a weight store.
     pub store: bool,
-    /// Chunks sent at the same time.
+    /// Maximum concurrent uploads.
     pub uploads: usize,
-    /// Chunks received at the same time.
+    /// Maximum concurrent downloads.
     pub downloads: usize,
-    /// Chunks asked for at the same time, whether they have begun to come or not.
+    /// Maximum outstanding requests, including downloads in progress.
     pub pipeline: usize,
-    /// Boxes of its own domain that this box keeps informed, roughly.
+    /// Approximate number of boxes in the same failure domain that this box exchanges notes with.
     pub neighbours: usize,
-    /// Requests that may wait for an upload.
+    /// Maximum number of queued upload requests.
     pub queue: usize,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How chunks are drawn from the origin.
+    /// How draws from the origin are distributed.
     pub draw_mode: DrawMode,
-    /// Pauses and patience.
+    /// Intervals and timeouts.
     pub timings: SwarmTimings,
 }
 
 impl SwarmSettings {
-    /// The usual settings for `chunks` chunks that take the given times.
+    /// Default settings for `chunks` chunks with the given transfer times.
     pub fn new(chunks: u32, chunk_time: Duration, origin_chunk_time: Duration) -> Self {
         Self {
             prefer: BurstPreference::default(),
--- a/crates/core/src/burst/peers.rs
+++ b/crates/core/src/burst/peers.rs
@@ -1,4 +1,4 @@
-//! What this box knows of its neighbours.
+//! State of neighbouring boxes: held chunks, load and failures.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,28 +8,28 @@
 use super::{ChunkSet, PeerKey, SwarmTimings};
 use crate::time::Moment;
 
-/// Corrupt chunks after which a box is not asked again, if it has not sent many good ones.
+/// Number of corrupt chunks after which a box is excluded, unless offset by valid ones.
 const MAX_CORRUPT_CHUNKS: u32 = 2;
 
-/// Good chunks that make up for a corrupt one: links spoil a chunk now and then.
+/// Number of valid chunks that offset a corrupt one, since links occasionally corrupt a chunk.
 const VALID_PER_CORRUPT_CHUNK: u32 = 8;
 
-/// Longest pause after a box proved slow or out of reach, as a multiple of the first.
+/// Maximum backoff after failures, as a multiple of the initial backoff.
 const MAX_BACKOFF_FACTOR: u32 = 15;
 
-/// Pause after a box said that it is busy.
+/// Backoff after a box reported that it is busy.
 const BUSY_BACKOFF: Duration = Duration::from_millis(60);
 
-/// With more copies than this, one of them is surely at a box that lives.
+/// With more copies than this, at least one holder is assumed to be alive.
 const MANY_COPIES: u32 = 4;
 
 #[derive(Debug, Clone)]
 struct PeerState {
     key: PeerKey,
     held: ChunkSet,
-    /// Chunks asked of it that have not come.
+    /// Outstanding requests to this peer.
     asked: u32,
-    /// Requests that waited at it when it last said so.
+    /// Queue length that it last reported.
     queue: u32,
     last_heard: Moment,
     corrupt_chunks: u32,
@@ -39,7 +39,8 @@
 }
 
 impl PeerState {
-    /// Whether it can be asked; one that has gone silent would keep the ask from whoever answers.
+    /// Whether it can serve a request. A silent peer is excluded: it would hold a request that another
+    /// peer could answer.
     fn is_usable(&self, now: Moment, silence: Duration, most_asked: u32, most_load: u32) -> bool {
         !self.is_corrupter()
             && self.paused_until <= now
@@ -62,19 +63,19 @@
     }
 }
 
-/// Neighbours, what they hold, and how they have behaved.
+/// Neighbours with their chunks, load and failure history.
 #[derive(Debug, Clone)]
 pub(super) struct PeerTable {
     chunks: u32,
-    /// A box that says nothing for this long may be gone.
+    /// A box not heard from for this long is presumed gone.
     silence: Duration,
-    /// First pause after a box proved slow or out of reach; it doubles each time.
+    /// Initial backoff after a box was slow or unreachable; doubles with each failure.
     initial_backoff: Duration,
     peers: Vec<PeerState>,
     index: HashMap<PeerKey, usize>,
-    /// Neighbours that hold each chunk.
+    /// Number of neighbours that hold each chunk.
     copies: Vec<u32>,
-    /// Boxes known to corrupt chunks, neighbours or not.
+    /// Boxes excluded for corrupt chunks, including ones that are not neighbours.
     corrupters: Vec<PeerKey>,
 }
 
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes over a list of neighbours; returns those that are new.
+    /// Replaces the list of neighbours and returns the new ones.
     pub(super) fn replace(&mut self, neighbours: &[PeerKey]) -> Vec<PeerKey> {
         let gone = |peer: &PeerState| !neighbours.contains(&peer.key);
         let leaving: Vec<PeerKey> =
@@ -118,7 +119,6 @@
         });
     }
 
-    /// Forgets a neighbour.
     pub(super) fn remove(&mut self, key: PeerKey) {
         let Some(at) = self.index.remove(&key) else { return };
         let gone = self.peers.swap_remove(at);
@@ -132,7 +132,7 @@
         self.index.get(&key).map(|at| &mut self.peers[*at])
     }
 
-    /// Memory that the table takes, in bytes.
+    /// Approximate memory use in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         let peer = |peer: &PeerState| size_of::<PeerState>() + peer.held.memory_bytes();
         let index = self.index.len() * size_of::<(PeerKey, usize)>();
@@ -149,14 +149,14 @@
         self.peers.iter().map(|peer| peer.key)
     }
 
-    /// Neighbours that hold `chunk`.
+    /// Number of neighbours that hold `chunk`.
     pub(super) fn copies(&self, chunk: ChunkIndex) -> u32 {
         self.copies.get(chunk.0 as usize).copied().unwrap_or(0)
     }
 
-    /// Whether some neighbour that has been heard of lately holds `chunk`.
+    /// Whether a neighbour that was heard from recently holds `chunk`.
     ///
-    /// What a box held that has gone silent may be out of reach for good.
+    /// Chunks of silent neighbours do not count, since they may be permanently unreachable.
     pub(super) fn is_held_nearby(&self, now: Moment, chunk: ChunkIndex) -> bool {
         let copies = self.copies(chunk);
         if copies == 0 || copies > MANY_COPIES {
@@ -167,7 +167,7 @@
         self.peers.iter().any(holds)
     }
 
-    /// A box has said something, with the length of its queue; one that was silent is back.
+    /// Records a message with the sender's queue length. Clears the backoff of a sender that was silent.
     pub(super) fn note_message(&mut self, now: Moment, key: PeerKey, queue: u32) {
         let silence = self.silence;
         if let Some(peer) = self.get_mut(key) {
@@ -180,13 +180,13 @@
         }
     }
 
-    /// Whether a box has said something lately; all say something every few seconds.
+    /// Whether a box was heard from within the silence timeout; all send notes every few seconds.
     pub(super) fn is_heard(&self, now: Moment, key: PeerKey) -> bool {
         let peer = self.index.get(&key).map(|at| &self.peers[*at]);
         peer.is_some_and(|peer| peer.is_heard(now, self.silence))
     }
 
-    /// A neighbour holds one more chunk.
+    /// Records that a neighbour holds a chunk.
     pub(super) fn add_chunk(&mut self, key: PeerKey, chunk: ChunkIndex) {
         let Some(peer) = self.get_mut(key) else { return };
         if !peer.is_corrupter() && peer.held.insert(chunk) {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A neighbour turns out not to hold a chunk.
+    /// Records that a neighbour does not hold a chunk.
     pub(super) fn drop_chunk(&mut self, key: PeerKey, chunk: ChunkIndex) {
         let Some(peer) = self.get_mut(key) else { return };
         if peer.held.remove(chunk) {
@@ -202,37 +202,33 @@
         }
     }
 
-    /// Chunks asked of a box and requests of others that wait there.
+    /// Outstanding requests to a box plus the queue length that it reported.
     pub(super) fn load(&self, key: PeerKey) -> u32 {
         self.index.get(&key).map_or(0, |at| self.peers[*at].load())
     }
 
-    /// Whether a box can be asked and has nothing to send, as far as is known.
+    /// Whether a box can serve a request and has no load, as far as is known.
     pub(super) fn is_idle(&self, now: Moment, key: PeerKey) -> bool {
         let peer = self.index.get(&key).map(|at| &self.peers[*at]);
         peer.is_some_and(|peer| peer.is_usable(now, self.silence, 1, 1))
     }
 
-    /// Whether a neighbour holds a chunk.
     pub(super) fn holds(&self, key: PeerKey, chunk: ChunkIndex) -> bool {
         self.index.get(&key).is_some_and(|at| self.peers[*at].held.contains(chunk))
     }
 
-    /// A chunk was asked of a box.
     pub(super) fn note_request(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked += 1;
         }
     }
 
-    /// A request to a box has ended.
     pub(super) fn note_request_end(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked = peer.asked.saturating_sub(1);
         }
     }
 
-    /// A box has sent a good chunk.
     pub(super) fn note_valid_chunk(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.failures = 0;
@@ -240,18 +236,18 @@
         }
     }
 
-    /// A box is busy; it is left alone for a moment.
+    /// Backs off briefly from a busy box.
     pub(super) fn note_busy(&mut self, now: Moment, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.paused_until = now + BUSY_BACKOFF;
         }
     }
 
-    /// A box is slow or out of reach; it is left alone for longer each time.
+    /// Backs off from a slow or unreachable box, for longer with each failure.
     pub(super) fn note_failure(&mut self, now: Moment, key: PeerKey) {
         let first = self.initial_backoff;
         if let Some(peer) = self.get_mut(key) {
-            // What fails while it is left alone anyway is the same trouble.
+            // Failures during the backoff belong to the failure that caused it.
             if peer.paused_until > now {
                 return;
             }
@@ -261,7 +257,8 @@
         }
     }
 
-    /// A box has sent corrupt bytes; after a few it is not believed any more.
+    /// Records a corrupt chunk from a box, which is excluded after several. A box that is not a
+    /// neighbour has no record of valid chunks and is excluded at once.
     pub(super) fn note_corrupt(&mut self, key: PeerKey) {
         let Some(at) = self.index.get(&key).copied() else {
             self.corrupters.push(key);
@@ -277,12 +274,12 @@
         self.corrupters.push(key);
     }
 
-    /// Whether a box is known to corrupt chunks.
+    /// Whether a box is excluded for corrupt chunks.
     pub(super) fn is_corrupter(&self, key: PeerKey) -> bool {
         self.corrupters.contains(&key)
     }
 
-    /// Chunks held by neighbours that can be asked now, as a field of words.
+    /// Chunks held by neighbours that can serve a request now, as the words of a bitfield.
     pub(super) fn available(&self, now: Moment, limits: AskLimits) -> Vec<u64> {
         let mut union = Vec::new();
         self.peers
@@ -292,7 +289,7 @@
         union
     }
 
-    /// The least busy neighbour that holds `chunk` and can be asked now.
+    /// The least loaded neighbour that holds `chunk` and can serve a request now.
     pub(super) fn pick(
         &self,
         now: Moment,
@@ -309,11 +306,11 @@
     }
 }
 
-/// How much one box may ask of another.
+/// Limits on requests to one box.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AskLimits {
-    /// Most chunks asked of one box at a time.
+    /// A box with this many outstanding requests gets no further ones.
     pub(super) asked: u32,
-    /// Longest queue that a request is added to.
+    /// A box with this much load gets no further requests.
     pub(super) load: u32,
 }
--- a/crates/core/src/burst/planner.rs
+++ b/crates/core/src/burst/planner.rs
@@ -1,4 +1,4 @@
-//! The planner of one box for one manifest.
+//! Chunk scheduling of one box for one manifest.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,18 +18,18 @@
 
 mod outcomes;
 
-/// A box sends one chunk at a time until it holds this many, then two, and so on: few boxes hold
-/// anything at first, and what they hold spreads fastest one chunk after another.
+/// The upload limit starts at one and grows by one for each such number of held chunks. Early in a
+/// burst few boxes hold any chunk, and chunks spread fastest if they are sent one after another.
 const EARLY_CHUNKS: usize = 2;
 
-/// A queue from which an ask is moved to an idle box.
+/// Queue length from which a waiting request is moved to an idle box.
 const LONG_QUEUE: u32 = 3;
 
-/// Rounds in which offers to other domains are repeated, after each change of the list of boxes:
-/// whoever began late or missed a note hears of them again.
+/// Number of times that offers to other domains are repeated after the list of boxes changes, for
+/// boxes that started late or missed a note.
 const OFFER_ROUNDS: u32 = 8;
 
-/// How many times longer than usual chunks take over a link that has become narrow.
+/// A link counts as slow when transfers take more than this many times the configured chunk time.
 const SLOW_LINK_FACTOR: u32 = 4;
 
 /// One fetch in progress.
@@ -41,7 +41,7 @@
     pub(super) deferred: bool,
 }
 
-/// How far a transfer is.
+/// Progress of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwarmProgress {
     /// Chunks held and verified.
@@ -50,11 +50,11 @@
     pub chunks: u32,
     /// Fetches in progress.
     pub open: usize,
-    /// Requests of other boxes that wait here.
+    /// Upload requests queued at this box.
     pub queue: u32,
 }
 
-/// Decides for one box which chunks to fetch from whom, and whom to send chunks.
+/// Decides for one box which chunks to fetch, from which sources, and which requests to serve.
 #[derive(Debug, Clone)]
 pub struct SwarmPlanner {
     pub(super) settings: SwarmSettings,
@@ -67,28 +67,29 @@
     pub(super) uploads: UploadQueue,
     pub(super) rng: SmallRng,
     pub(super) started: Moment,
-    /// When the last chunks came in, newest last.
+    /// Arrival times of the most recent chunks, oldest first.
     pub(super) arrivals: VecDeque<Moment>,
     pub(super) unannounced: Vec<ChunkIndex>,
     pub(super) last_announced: Moment,
     pub(super) bitfield_due: Moment,
-    /// Doubles when fetches time out one after another: then this box's own link is slow.
+    /// Multiplier of transfer timeouts. Doubles on timeouts, since consecutive ones indicate that
+    /// this box's own link is slow.
     pub(super) timeout_factor: u32,
     pub(super) complete: bool,
-    /// Another version is wanted: the origin's link is left to that.
+    /// Whether another version replaces this one and has the origin's link to itself.
     pub(super) superseded: bool,
-    /// Time that chunks lately took from their first byte to their last.
+    /// Moving average of the time from a chunk's first byte to its last.
     pub(super) transfer_time: Duration,
-    /// Chunks that entered this domain here, and from where: offered onward until they have come.
+    /// Chunks that this box brought into its domain, with their origin, for repeated offers.
     pub(super) imported: BTreeMap<ChunkIndex, ImportOrigin>,
-    /// Rounds in which offers are still repeated.
+    /// Remaining repetitions of offers.
     pub(super) offer_rounds: u32,
-    /// How many of the missing chunks may be drawn now, over all boxes.
+    /// Limit on the assigned chunks that all boxes together may draw.
     pub(super) window: DrawWindow,
 }
 
 impl SwarmPlanner {
-    /// A planner that begins `now` with the chunks in `held`, which are verified.
+    /// Starts a planner at `now` with the verified chunks in `held`.
     pub fn begin(
         settings: SwarmSettings,
         salt: u64,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// How far the transfer is.
+    /// Progress of the transfer.
     pub fn progress(&self) -> SwarmProgress {
         SwarmProgress {
             held: self.held.count(),
@@ -133,22 +134,22 @@
         }
     }
 
-    /// Chunks held.
+    /// The verified chunks that this box holds.
     pub fn held(&self) -> &ChunkSet {
         &self.held
     }
 
-    /// Whether every chunk is here and verified.
+    /// Whether all chunks are held and verified.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// What this box says with every note.
+    /// State of this box to attach to outgoing notes.
     pub fn status(&self) -> PeerStatus {
         PeerStatus { queue: self.uploads.length(), drawn: self.draws.drawn() }
     }
 
-    /// Memory that the state takes, in bytes, from the sizes of its parts.
+    /// Approximate memory use in bytes, summed over the main components.
     pub fn memory_bytes(&self) -> u64 {
         let topology = self.topology.count() * (2 * size_of::<PeerLocation>() + size_of::<u64>());
         let open = self.open.len() * size_of::<(ChunkIndex, OpenFetch)>();
@@ -156,7 +157,7 @@
         (size_of::<Self>() + parts) as u64
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, now: Moment, event: SwarmEvent) -> Vec<SwarmAction> {
         let mut actions = Vec::new();
         match event {
@@ -232,8 +233,8 @@
         self.start_fetches(now, actions);
     }
 
-    /// Offers chunks kept from an earlier version to those who would import them: they may not
-    /// be among this box's neighbours, and would fetch from afar what is near.
+    /// Offers chunks kept from an earlier version to their importers in this domain. An importer that
+    /// is not a neighbour would otherwise fetch from a remote domain what is available locally.
     pub(super) fn offer_held(&self, actions: &mut Vec<SwarmAction>) {
         let me = self.topology.local();
         let offer = |chunk| {
@@ -243,7 +244,7 @@
         actions.extend(self.held.iter().filter_map(offer));
     }
 
-    /// Offers the chunks that entered this domain here to other domains once more.
+    /// Repeats the offers to other domains of chunks that this box brought into its domain.
     pub(super) fn repeat_offers(&mut self, actions: &mut Vec<SwarmAction>) {
         if self.offer_rounds == 0 || self.settings.draw_mode != DrawMode::Assigned {
             return;
@@ -291,16 +292,16 @@
             SwarmNote::Seek(chunk) if chunk.0 < self.settings.chunks => {
                 self.imports.remember_seeker(chunk, from);
             }
-            // A chunk that does not exist.
+            // The chunk index is out of range.
             SwarmNote::Ticket(_) | SwarmNote::Offer(_) | SwarmNote::Seek(_) => {}
         }
         self.start_fetches(now, actions);
     }
 
-    /// Moves an ask that waits in a long queue to a box that has nothing to send.
+    /// Moves a request that waits in a long queue to an idle box.
     ///
-    /// Early on everybody asks the first holders of a chunk; without this the holders that come
-    /// after them would stand idle until those queues had been worked off.
+    /// Early in a burst all requests for a chunk go to its first holders. Without this, later holders
+    /// would be idle until those queues are drained.
     pub(super) fn move_request(
         &mut self,
         now: Moment,
@@ -338,7 +339,7 @@
             actions.push(SwarmAction::Refuse { to: from, chunk, failure: FetchFailure::Absent });
             return;
         }
-        // Only imports are asked of boxes that are no neighbours.
+        // Requests from boxes that are not neighbours are imports.
         let remote = !self.peers.contains(from);
         self.uploads.enqueue(now, (from, chunk), held, remote, actions);
         self.grant(now, actions);
@@ -353,10 +354,10 @@
         self.uploads.grant(now, most, |chunk| peers.copies(chunk), actions);
     }
 
-    /// Takes a chunk whose turn has come, unless as many are coming in as this box wants.
+    /// Accepts a granted chunk, or defers it if the download limit is reached.
     ///
-    /// The limit keeps the numbers of chunks on each link alike; without it some boxes receive
-    /// many at once while others receive none, and a quarter of all uplinks stands idle.
+    /// The limit balances the load of links: without it some boxes receive many chunks at once while
+    /// others receive none, and a quarter of all uplinks is idle.
     pub(super) fn handle_grant(
         &mut self,
         now: Moment,
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Chunks that may come in at the same time; few at first, as with uploads.
+    /// Current limit on concurrent downloads, which grows with the held chunks like that on uploads.
     pub(super) fn max_downloads(&self) -> usize {
         if self.is_link_slow() {
             return 1;
@@ -387,12 +388,12 @@
         self.settings.downloads.min(1 + self.held.count() as usize / EARLY_CHUNKS)
     }
 
-    /// Chunks that are coming in.
+    /// Number of downloads in progress.
     pub(super) fn active_downloads(&self) -> usize {
         self.open.values().filter(|fetch| fetch.started.is_some()).count()
     }
 
-    /// Once there is room, tells boxes whose turn was passed.
+    /// Resumes deferred grants once downloads are below their limit.
     pub(super) fn resume(&mut self, actions: &mut Vec<SwarmAction>) {
         if self.active_downloads() >= self.max_downloads() {
             return;
@@ -403,9 +404,10 @@
         }
     }
 
-    /// Whether chunks come so slowly that this box's link must be narrower than it was said to be.
+    /// Whether transfers are so slow that this box's link must be slower than configured.
     ///
-    /// Then one chunk at a time goes each way: whatever else uses the link would wait behind them.
+    /// Transfers are then limited to one in each direction, so that other traffic on the link is not
+    /// queued behind them.
     pub(super) fn is_link_slow(&self) -> bool {
         let slow = self.settings.chunk_time * SLOW_LINK_FACTOR;
         self.settings.draw_mode == DrawMode::Assigned && self.transfer_time > slow
--- a/crates/core/src/burst/planner/outcomes.rs
+++ b/crates/core/src/burst/planner/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a planner does when a fetch has brought its chunk or has failed.
+//! Handling of completed and failed fetches.
 
 use headlatch_types::ChunkIndex;
 
@@ -11,18 +11,19 @@
     time::Moment,
 };
 
-/// A chunk with fewer copies nearby is told of at once.
+/// Chunks with fewer copies among the neighbours are announced immediately.
 const ANNOUNCE_AT_ONCE_COPIES: u32 = 3;
 
-/// A box tells of its first chunks at once: waiting would add to every doubling of their copies.
+/// Number of first chunks that a box announces immediately: a batching delay would add to each
+/// doubling of the number of copies.
 const EARLY_ANNOUNCEMENTS: u32 = 32;
 
-/// Rounds in which offers to other domains are repeated at least after a chunk has entered this one: the
-/// note of a chunk that comes late, after an outage of the origin, may be lost as well.
+/// Minimum number of times that offers to other domains are repeated after a chunk has entered this
+/// one, since the offer of a chunk that arrives late, after an origin outage, may also be lost.
 const LATE_OFFER_ROUNDS: u32 = 2;
 
 impl SwarmPlanner {
-    /// Takes a verified chunk in and tells those who need to know.
+    /// Stores a verified chunk and announces it to interested boxes.
     pub(in crate::burst) fn accept(
         &mut self,
         now: Moment,
@@ -51,11 +52,11 @@
         self.start_fetches(now, actions);
     }
 
-    /// Notes how long a chunk took to come over this box's link.
+    /// Updates the average transfer time with that of a completed fetch.
     pub(in crate::burst) fn note_transfer(&mut self, now: Moment, chunk: ChunkIndex) {
         let started = self.open.get(&chunk).and_then(|fetch| fetch.started);
         let Some(started) = started else { return };
-        // Chunks that come at the same time share the link.
+        // Concurrent downloads share the link.
         let took = now.since(started) / self.active_downloads().max(1) as u32;
         self.transfer_time = (self.transfer_time * 2 + took) / 3;
     }
@@ -82,7 +83,7 @@
         }
     }
 
-    /// How a chunk entered this domain; none if it was in it already.
+    /// How a chunk from `source` entered this domain; `None` if it came from within the domain.
     pub(in crate::burst) fn import_origin(&self, source: ChunkSource) -> Option<ImportOrigin> {
         let ChunkSource::Peer(peer) = source else { return Some(ImportOrigin::OriginOrStore) };
         let location = self.topology.location(peer)?;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Corrupt bytes are fetched again at once; any other failure waits.
+    /// Delays the next draw after a failure, except for corrupt data, which is fetched again immediately.
     pub(in crate::burst) fn postpone(
         &mut self,
         now: Moment,
--- a/crates/core/src/burst/topology.rs
+++ b/crates/core/src/burst/topology.rs
@@ -1,7 +1,8 @@
-//! Who takes part, and who is responsible for which chunk.
+//! Participants of a transfer and the assignment of chunks to them.
 //!
-//! Every box ranks domains and boxes by rendezvous hashing, so that boxes with the same list
-//! agree without a word, and boxes whose lists differ a little disagree about few chunks.
+//! Every box ranks domains and boxes by rendezvous hashing. Boxes with the same list of peers compute
+//! the same assignment without coordination, and boxes with slightly different lists disagree about few
+//! chunks.
 
 use std::{
     cell::RefCell,
@@ -12,11 +13,11 @@
 
 use crate::hash::{ranking, score, winner};
 
-/// Key of a box, from its id.
+/// Key of a box, derived from its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerKey(pub u64);
 
-/// A box and where it stands.
+/// A box with its failure domain and region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerLocation {
     /// Key of the box.
@@ -27,20 +28,21 @@
     pub region: u64,
 }
 
-/// The boxes that take part in one transfer.
+/// The boxes that participate in one transfer.
 #[derive(Debug, Clone)]
 pub struct PeerTopology {
     salt: u64,
     local: PeerLocation,
     peers: BTreeMap<PeerKey, PeerLocation>,
-    /// Domain to its region and its boxes.
+    /// Region and boxes of each domain.
     domains: BTreeMap<u64, (u64, Vec<u64>)>,
-    /// The drawers of the first chunks, as far as they have been asked for since the last list.
+    /// Cached results of [`Self::drawer`] for the current list of peers.
     drawers: RefCell<HashMap<ChunkIndex, PeerKey>>,
 }
 
 impl PeerTopology {
-    /// A map with this box alone; `salt` keeps transfers from burdening the same boxes.
+    /// A topology of this box alone. `salt` distributes the load of different transfers over different
+    /// boxes.
     pub fn new(salt: u64, local: PeerLocation) -> Self {
         let mut map = Self {
             salt,
@@ -53,14 +55,14 @@
         map
     }
 
-    /// Takes over a new list; this box is always in it.
+    /// Replaces the list of peers; this box is always added.
     pub fn replace(&mut self, peers: &[PeerLocation]) {
         self.peers = peers.iter().map(|peer| (peer.key, *peer)).collect();
         self.peers.insert(self.local.key, self.local);
         self.index();
     }
 
-    /// Leaves out a box until the next list.
+    /// Removes a box until the list is next replaced.
     pub fn remove(&mut self, peer: PeerKey) {
         if peer != self.local.key && self.peers.remove(&peer).is_some() {
             self.index();
@@ -81,12 +83,12 @@
         self.local
     }
 
-    /// Boxes that take part.
+    /// Number of participating boxes.
     pub fn count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Where a box stands.
+    /// Failure domain and region of a box, if it participates.
     pub fn location(&self, peer: PeerKey) -> Option<PeerLocation> {
         self.peers.get(&peer).copied()
     }
@@ -109,15 +111,15 @@
 
     /// The box that draws `chunk` from the origin or the store.
     ///
-    /// It is asked for at every event, and takes a hash of every box of a domain: the answer is kept
-    /// until the list changes.
+    /// The result is cached until the list of peers changes, because it is needed at every event and
+    /// requires a hash of every box of a domain.
     pub fn drawer(&self, chunk: ChunkIndex) -> PeerKey {
         let mut drawers = self.drawers.borrow_mut();
         let ranked = || self.importer(self.first_domain(chunk), chunk).unwrap_or(self.local.key);
         *drawers.entry(chunk).or_insert_with(ranked)
     }
 
-    /// The box that draws `chunk` if those in `failed` do not.
+    /// The box that draws `chunk` if those in `failed` are excluded.
     pub fn next_drawer(&self, chunk: ChunkIndex, failed: &[PeerKey]) -> PeerKey {
         let domain = self.first_domain(chunk);
         let near = self.domains.get(&domain).map(|(_, boxes)| boxes.as_slice()).unwrap_or(&[]);
@@ -128,7 +130,7 @@
         drawer.or_else(anyone).map_or(self.local.key, PeerKey)
     }
 
-    /// The box that brings `chunk` into `domain`.
+    /// The box that imports `chunk` into `domain`.
     pub fn importer(&self, domain: u64, chunk: ChunkIndex) -> Option<PeerKey> {
         let boxes = &self.domains.get(&domain)?.1;
         winner(self.subject(chunk), boxes.iter().copied()).map(PeerKey)
@@ -142,7 +144,7 @@
         near.iter().filter(|other| score(subject, **other) > own).count()
     }
 
-    /// The first `most` importers of `chunk` in every domain, but for this box.
+    /// The first `most` importers of `chunk` in every domain, excluding this box.
     pub fn other_importers(&self, chunk: ChunkIndex, most: usize) -> Vec<PeerKey> {
         let subject = self.subject(chunk);
         let first = |boxes: &[u64]| {
@@ -152,9 +154,10 @@
         keys.filter(|key| *key != self.local.key).collect()
     }
 
-    /// To whom a chunk that has just entered this box's domain from `source_region` is offered:
-    /// one importer in each other region, and one in each other domain of this region. A chunk
-    /// that came from within the region is offered to nobody, since its sender has done so.
+    /// The boxes to which a chunk is offered after it has entered this box's domain from `source`: one
+    /// importer in each other region, and one in each other domain of this region. A chunk from another
+    /// region is offered within this region only. A chunk from within the region is not offered, since
+    /// its sender has already done so.
     pub fn onward(&self, chunk: ChunkIndex, source: ImportOrigin) -> Vec<PeerKey> {
         let siblings = self
             .domains
@@ -173,7 +176,7 @@
         targets.into_iter().filter_map(|domain| self.importer(domain, chunk)).collect()
     }
 
-    /// For each other region, the domain that takes `chunk` in for all of it.
+    /// For each other region, the domain that imports `chunk` for the whole region.
     fn region_entry_domains(&self, chunk: ChunkIndex) -> impl Iterator<Item = u64> {
         let subject = self.subject(chunk);
         let mut heads: BTreeMap<u64, u64> = BTreeMap::new();
@@ -189,8 +192,8 @@
 
     /// The boxes of this domain that this box exchanges notes with.
     ///
-    /// The choice is symmetric: a pair of boxes belongs together if the score of the pair is
-    /// below a threshold that gives each box about `wanted` neighbours.
+    /// The relation is symmetric: two boxes are neighbours if the score of the pair is below a
+    /// threshold chosen so that each box has about `wanted` neighbours.
     pub fn neighbours(&self, wanted: usize) -> Vec<PeerKey> {
         let Some((_, boxes)) = self.domains.get(&self.local.domain) else { return Vec::new() };
         let others = boxes.len().saturating_sub(1);
@@ -203,7 +206,7 @@
     }
 }
 
-/// Where a chunk came from, seen from the domain that it has entered.
+/// Origin of a chunk, relative to the domain that it has entered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ImportOrigin {
     /// The origin or the store.
--- a/crates/core/src/burst/uploads.rs
+++ b/crates/core/src/burst/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests for chunks that this box sends to others.
+//! Queue of chunk requests from other boxes.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use super::{FetchFailure, PeerKey, SwarmAction};
 use crate::time::Moment;
 
-/// One request that waits.
+/// A queued or active request.
 #[derive(Debug, Clone)]
 struct UploadRequest {
     from: PeerKey,
     chunk: ChunkIndex,
     held: u32,
     remote: bool,
-    /// Its turn came when it had no room; it will say when it has.
+    /// Whether the requesting box deferred a grant and has not resumed it.
     deferred: bool,
-    /// When it came, or when it was granted.
+    /// Time of arrival, or of the grant.
     since: Moment,
 }
 
-/// Requests that wait and chunks that are on their way out.
+/// Queued requests and uploads in progress.
 #[derive(Debug, Clone)]
 pub(super) struct UploadQueue {
     waiting: Vec<UploadRequest>,
@@ -33,18 +33,18 @@
         Self { waiting: Vec::new(), active: Vec::new(), max_waiting }
     }
 
-    /// Requests that wait, for others to know.
+    /// Queue length to report to other boxes.
     pub(super) fn length(&self) -> u32 {
         self.ready() as u32
     }
 
-    /// Requests whose boxes have room. Those that passed do not count: they would keep out boxes
-    /// that have room while this one has nothing to send.
+    /// Number of requests that can be granted. Deferred requests do not count: they would block requests
+    /// that can be served immediately while this box is idle.
     fn ready(&self) -> usize {
         self.waiting.iter().filter(|request| !request.deferred).count()
     }
 
-    /// Takes in a request; refuses it if too many wait.
+    /// Queues a request, or refuses it if the queue is full.
     pub(super) fn enqueue(
         &mut self,
         now: Moment,
@@ -64,24 +64,24 @@
         self.waiting.push(UploadRequest { from, chunk, held, remote, deferred: false, since: now });
     }
 
-    /// Forgets a request, be it waiting or on its way.
+    /// Removes a queued or active request.
     pub(super) fn end(&mut self, from: PeerKey, chunk: ChunkIndex) {
         self.waiting.retain(|request| !request.matches(from, chunk));
         self.active.retain(|request| !request.matches(from, chunk));
     }
 
-    /// Forgets everything a box asked for.
+    /// Removes all requests of a box.
     pub(super) fn forget(&mut self, from: PeerKey) {
         self.waiting.retain(|request| request.from != from);
         self.active.retain(|request| request.from != from);
     }
 
-    /// Forgets chunks that should have gone out long ago: whoever asked does not take them in.
+    /// Removes uploads older than `time`, whose receivers have stopped accepting them.
     pub(super) fn expire(&mut self, now: Moment, time: Duration) {
         self.active.retain(|request| now.since(request.since) < time);
     }
 
-    /// The box whose turn had come has no room; its request waits until it has.
+    /// Returns a granted request to the queue until the requesting box resumes it.
     pub(super) fn pass(&mut self, from: PeerKey, chunk: ChunkIndex) {
         let Some(at) = self.active.iter().position(|request| request.matches(from, chunk)) else {
             return;
@@ -90,15 +90,15 @@
         self.waiting.push(UploadRequest { deferred: true, ..request });
     }
 
-    /// The box has room again.
+    /// Makes a deferred request eligible again.
     pub(super) fn resume(&mut self, from: PeerKey, chunk: ChunkIndex) {
         let request = self.waiting.iter_mut().find(|request| request.matches(from, chunk));
         request.into_iter().for_each(|request| request.deferred = false);
     }
 
-    /// Grants requests until `most` are on their way: other domains first, then boxes that are
-    /// not being sent anything, then the rarest chunk, then the box that holds least, then the
-    /// longest wait.
+    /// Grants requests until `most` uploads are active. Order: other domains first, then boxes without
+    /// an active upload, then the rarest chunk, then the box with the fewest chunks, then the longest
+    /// wait.
     pub(super) fn grant(
         &mut self,
         now: Moment,
@@ -134,11 +134,11 @@
     }
 }
 
-/// How much longer the queue may be with requests that passed.
+/// Factor by which the queue may exceed its limit when it includes deferred requests.
 const DEFERRED_QUEUE_FACTOR: usize = 8;
 
-/// How much longer the queue may be for other domains, since each chunk is imported only once.
+/// Factor by which the queue limit is larger for other domains, since each chunk is imported only once.
 const REMOTE_QUEUE_FACTOR: usize = 4;
 
-/// A chunk with this many copies nearby or more is not rare.
+/// Number of copies among neighbours from which chunks are equally common when ordering grants.
 const COMMON_COPIES: u32 = 6;
--- a/crates/core/tests/burst_absent.rs
+++ b/crates/core/tests/burst_absent.rs
@@ -1,4 +1,5 @@
-//! A burst, in virtual time, in which some of the listed boxes never begin.
+//! Simulated bursts in which some of the listed boxes never start. Their chunks must still reach the
+//! domain within a bound, although the highest-ranked importers are absent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,13 +16,13 @@
 };
 use headlatch_types::{ChunkIndex, fleet::BurstPreference};
 
-/// Chunks of a burst, as in the incident.
+/// Number of chunks, as in an observed failure.
 const CHUNKS: u32 = 96;
 
-/// Time that a chunk takes over any link.
+/// Transfer time of a chunk over any link.
 const CHUNK_TIME: Duration = Duration::from_millis(10);
 
-/// Time that a message takes.
+/// Latency of a message.
 const MESSAGE_TIME: Duration = Duration::from_millis(1);
 
 const SALT: u64 = 1;
@@ -29,27 +30,27 @@
 /// The failure domain in which boxes are absent.
 const DOMAIN: u64 = 0;
 
-/// Boxes of that domain, and how many of them do not begin, as in the incident.
+/// Boxes per domain, and how many of them never start, as in an observed failure.
 const BOXES: u64 = 11;
 const ABSENT: usize = 7;
 
-/// The chunk whose first importers are those that do not begin.
+/// The chunk whose highest-ranked importers never start.
 const UNSERVED_CHUNK: ChunkIndex = ChunkIndex(5);
 
-/// Bound for a whole burst: the draws (1 s), and for each of seven ranks 0.2 s and the time of 16
-/// chunks, which is 2.5 s, and as much again for the box that takes over and for ticks.
+/// Time limit for a whole burst: 1 s for the draws; 0.2 s and the time of 16 chunks for each of seven
+/// ranks, which is 2.5 s; and the same again for the box that takes over and for ticks.
 const BOUND: Duration = Duration::from_secs(7);
 
-/// Boxes of one burst that exchange messages without loss; links carry any number of chunks.
+/// Boxes of one burst. Messages are never lost, and links have unlimited capacity.
 struct World {
     now: Moment,
     planners: BTreeMap<PeerKey, SwarmPlanner>,
     domains: BTreeMap<PeerKey, u64>,
     due: BTreeMap<(Moment, u64), (PeerKey, SwarmEvent)>,
     events: u64,
-    /// Draws from the origin.
+    /// Number of draws from the origin.
     draws: usize,
-    /// Chunks that came from a box of another domain.
+    /// Number of chunks received from a box of another domain.
     imports: usize,
 }
 
@@ -74,7 +75,7 @@
         world
     }
 
-    /// Lets the burst run until everybody who takes part is complete, at most until `end`.
+    /// Runs the burst until all participants are complete, at most until `end`.
     fn run(&mut self, end: Duration) {
         let end = Moment::ZERO + end;
         let tick = settings().timings.tick;
@@ -102,7 +103,7 @@
         self.due.insert((self.now + after, self.events), (to, event));
     }
 
-    /// Sends a message to a box; `unreachable` comes back if it does not take part.
+    /// Sends a message to a box, or returns `unreachable` to the sender if that box never started.
     fn send(&mut self, from: PeerKey, to: PeerKey, event: SwarmEvent, unreachable: SwarmEvent) {
         match self.planners.contains_key(&to) {
             true => self.post(MESSAGE_TIME, to, event),
@@ -146,7 +147,7 @@
                 self.post(MESSAGE_TIME, from, SwarmEvent::GrantResumed { from: me, chunk });
             }
             SwarmAction::SendNote { to, note } => self.send_note(me, to, note),
-            // The origin is not told of turns.
+            // The origin does not grant requests.
             SwarmAction::AcceptGrant { .. }
             | SwarmAction::Cancel { .. }
             | SwarmAction::DeferGrant { .. }
@@ -184,14 +185,14 @@
     settings
 }
 
-/// `BOXES` boxes in each of as many domains, which are regions as well.
+/// `BOXES` boxes in each domain. Every domain is its own region.
 fn peers(domains: u64) -> Vec<PeerLocation> {
     let peer =
         |key| PeerLocation { key: PeerKey(key), domain: key % domains, region: key % domains };
     (1..=domains * BOXES).map(peer).collect()
 }
 
-/// The first importers of the orphaned chunk in `DOMAIN`.
+/// The highest-ranked importers of `UNSERVED_CHUNK` in `DOMAIN`.
 fn importers(peers: &[PeerLocation], count: usize) -> BTreeSet<PeerKey> {
     let me = PeerLocation { key: PeerKey(0), domain: u64::MAX, region: u64::MAX };
     let mut map = PeerTopology::new(SALT, me);
--- a/crates/core/tests/burst_peers.rs
+++ b/crates/core/tests/burst_peers.rs
@@ -1,4 +1,4 @@
-//! How a planner treats boxes that go and come back.
+//! Handling of boxes and origins that become unreachable and recover.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-/// A planner of two boxes in one domain, and what it does at first.
+/// A planner in a domain of two boxes, with its first actions.
 fn planner() -> (SwarmPlanner, Vec<SwarmAction>) {
     let chunk_time = Duration::from_millis(30);
     let mut settings = SwarmSettings::new(CHUNKS, chunk_time, chunk_time);
@@ -55,7 +55,7 @@
 #[gtest]
 fn a_box_that_was_out_of_reach_is_asked_again_as_soon_as_it_is_heard() {
     let (mut planner, _) = planner();
-    // Every note that could not be delivered says so.
+    // Every undelivered note is reported.
     for tick in 0..20 {
         planner.handle(at(50 * tick), SwarmEvent::PeerUnreachable(PEER));
     }
@@ -71,8 +71,8 @@
     }
     let asked = planner.handle(at(100), everything());
     expect_that!(asks_peer(&asked), eq(true));
-    // It neither sends nor says anything: what was asked of it is given up, not asked again, and
-    // drawn from the origin.
+    // The box neither sends chunks nor notes: requests to it are cancelled and not repeated, and the
+    // chunks are drawn from the origin.
     let mut later = Vec::new();
     for tick in 20..200 {
         let now = at(50 * tick);
@@ -87,8 +87,8 @@
     expect_that!(planner.is_complete(), eq(true));
 }
 
-/// Boxes in three domains, and how many draws each begins in a second after an origin is back that
-/// has failed everybody for some seconds.
+/// Number of draws that all boxes, in three domains, start within one second after the origin recovers
+/// from an outage of five seconds.
 fn draws_after_an_outage(boxes: u64) -> usize {
     let chunk_time = Duration::from_millis(30);
     let mut settings = SwarmSettings::new(CHUNKS * 4, chunk_time, chunk_time);
@@ -125,7 +125,7 @@
 
 #[gtest]
 fn an_origin_that_is_back_is_not_drawn_from_by_everybody() {
-    // Sixteen chunks are due, one at a time for each of their drawers; further ones only where
-    // these do not come.
+    // Sixteen chunks are due, drawn one at a time by each drawer; redraws are only started for chunks
+    // that do not arrive.
     expect_that!(draws_after_an_outage(45), all![ge(8), le(32)]);
 }
--- a/crates/core/tests/burst_window.rs
+++ b/crates/core/tests/burst_window.rs
@@ -1,7 +1,7 @@
-//! How a fleet draws from an origin that is down, and what a transfer does that is not wanted any more.
+//! Draws from an origin that is down, and behaviour of a superseded transfer.
 //!
-//! All 76 boxes asked an origin that was down for whatever each of them lacked, and when it was back all
-//! their draws shared its link.
+//! Guards against an overload on recovery: if all 76 boxes request their missing chunks from an origin
+//! that is down, all their draws share its link when it recovers.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -24,7 +24,7 @@
 const BOXES: u64 = 76;
 const TICK: Duration = Duration::from_millis(50);
 
-/// Most chunks that all boxes together draw at the same time.
+/// Maximum number of chunks that all boxes together draw concurrently.
 const WINDOW: usize = 24;
 
 fn settings() -> SwarmSettings {
@@ -60,7 +60,7 @@
             };
             for chunk in drawn(&planner.handle(now, event)) {
                 let (source, failure) = (ChunkSource::Origin, FetchFailure::Unreachable);
-                // What it does next it does at a later tick: the origin has just failed it.
+                // The box backs off after the failure, so its next draw is at a later tick.
                 let _ = planner.handle(now, SwarmEvent::Failed { chunk, source, failure });
                 if tick >= 100 {
                     asked.insert(chunk);
--- a/crates/core/tests/support/draws.rs
+++ b/crates/core/tests/support/draws.rs
@@ -1,9 +1,9 @@
-//! What a planner asks of the origin.
+//! Extracts draws from the origin from planner actions.
 
 use headlatch_core::burst::{ChunkSource, SwarmAction};
 use headlatch_types::ChunkIndex;
 
-/// Chunks that are to be drawn from the origin.
+/// Chunks that `actions` fetch from the origin.
 pub fn drawn(actions: &[SwarmAction]) -> Vec<ChunkIndex> {
     let draw = |action: &SwarmAction| match action {
         SwarmAction::Fetch { chunk, source: ChunkSource::Origin } => Some(*chunk),
--- a/crates/core/tests/support/figures.rs
+++ b/crates/core/tests/support/figures.rs
@@ -1,8 +1,8 @@
-//! Figures of an engine as tests of load use them.
+//! Engine figures for load tests.
 
 use headlatch_types::traffic::EngineFigures;
 
-/// An engine of sixteen slots.
+/// An engine with sixteen slots.
 pub fn figures() -> EngineFigures {
     EngineFigures {
         slots: 16,
