--- a/crates/core/tests/burst_absent.rs
+++ b/crates/core/tests/burst_absent.rs
@@ -42,7 +42,7 @@
 const BOUND: Duration = Duration::from_secs(7);
 
 /// Boxes of one burst. Messages are never lost, and links have unlimited capacity.
-struct World {
+struct Simulation {
     now: Moment,
     planners: BTreeMap<PeerKey, SwarmPlanner>,
     domains: BTreeMap<PeerKey, u64>,
@@ -54,10 +54,10 @@
     imports: usize,
 }
 
-impl World {
+impl Simulation {
     /// A burst of all `seats` in which those in `absent` never begin.
-    fn begin(peers: &[PeerLocation], absent: &BTreeSet<PeerKey>) -> Self {
-        let mut world = Self {
+    fn start(peers: &[PeerLocation], absent: &BTreeSet<PeerKey>) -> Self {
+        let mut simulation = Self {
             now: Moment::ZERO,
             planners: BTreeMap::new(),
             domains: peers.iter().map(|peer| (peer.key, peer.domain)).collect(),
@@ -68,11 +68,11 @@
         };
         for peer in peers.iter().filter(|peer| !absent.contains(&peer.key)) {
             let held = ChunkSet::new(CHUNKS);
-            let planner = SwarmPlanner::begin(settings(), SALT, *peer, held, world.now);
-            world.planners.insert(peer.key, planner);
-            world.post(Duration::ZERO, peer.key, SwarmEvent::Peers(peers.to_vec()));
+            let planner = SwarmPlanner::begin(settings(), SALT, *peer, held, simulation.now);
+            simulation.planners.insert(peer.key, planner);
+            simulation.post(Duration::ZERO, peer.key, SwarmEvent::Peers(peers.to_vec()));
         }
-        world
+        simulation
     }
 
     /// Runs the burst until all participants are complete, at most until `end`.
@@ -94,7 +94,7 @@
             self.now = at;
             let Some(planner) = self.planners.get_mut(&to) else { continue };
             let actions = planner.handle(at, event);
-            actions.into_iter().for_each(|action| self.act(to, action));
+            actions.into_iter().for_each(|action| self.apply_action(to, action));
         }
     }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    fn act(&mut self, me: PeerKey, action: SwarmAction) {
+    fn apply_action(&mut self, me: PeerKey, action: SwarmAction) {
         match action {
             SwarmAction::Fetch { chunk, source: ChunkSource::Peer(from) } => {
                 let held = self.planners[&me].held().count();
@@ -204,29 +204,29 @@
 #[gtest]
 fn a_chunk_whose_first_importers_never_begin_comes_from_another_domain() {
     let peers = peers(3);
-    let mut world = World::begin(&peers, &importers(&peers, ABSENT));
-    world.run(BOUND);
+    let mut simulation = Simulation::start(&peers, &importers(&peers, ABSENT));
+    simulation.run(BOUND);
     let present = BOXES as usize - ABSENT;
-    expect_that!(world.held(DOMAIN), eq(&vec![CHUNKS; present]));
+    expect_that!(simulation.held(DOMAIN), eq(&vec![CHUNKS; present]));
 }
 
 #[gtest]
 fn a_chunk_whose_first_drawers_never_begin_is_drawn_by_another_box() {
     let peers = peers(1);
-    let mut world = World::begin(&peers, &importers(&peers, ABSENT));
-    world.run(BOUND);
+    let mut simulation = Simulation::start(&peers, &importers(&peers, ABSENT));
+    simulation.run(BOUND);
     let present = BOXES as usize - ABSENT;
-    expect_that!(world.held(DOMAIN), eq(&vec![CHUNKS; present]));
-    expect_that!(world.draws, eq(CHUNKS as usize));
+    expect_that!(simulation.held(DOMAIN), eq(&vec![CHUNKS; present]));
+    expect_that!(simulation.draws, eq(CHUNKS as usize));
 }
 
 #[gtest]
 fn a_burst_in_which_all_begin_draws_and_imports_each_chunk_once() {
     let domains = 3;
     let peers = peers(domains);
-    let mut world = World::begin(&peers, &BTreeSet::new());
-    world.run(BOUND);
-    expect_that!(world.is_complete(), eq(true));
-    expect_that!(world.draws, eq(CHUNKS as usize));
-    expect_that!(world.imports, eq(CHUNKS as usize * (domains as usize - 1)));
+    let mut simulation = Simulation::start(&peers, &BTreeSet::new());
+    simulation.run(BOUND);
+    expect_that!(simulation.is_complete(), eq(true));
+    expect_that!(simulation.draws, eq(CHUNKS as usize));
+    expect_that!(simulation.imports, eq(CHUNKS as usize * (domains as usize - 1)));
 }
--- a/crates/core/tests/burst_peers.rs
+++ b/crates/core/tests/burst_peers.rs
@@ -37,7 +37,7 @@
     (planner, first)
 }
 
-fn everything() -> SwarmEvent {
+fn full_bitfield() -> SwarmEvent {
     let mut field = ChunkSet::new(CHUNKS);
     (0..CHUNKS).for_each(|chunk| {
         field.insert(ChunkIndex(chunk));
@@ -45,7 +45,7 @@
     SwarmEvent::Note { from: PEER, note: SwarmNote::Bitfield(field), status: PeerStatus::default() }
 }
 
-fn asks_peer(actions: &[SwarmAction]) -> bool {
+fn requests_from_peer(actions: &[SwarmAction]) -> bool {
     let source = ChunkSource::Peer(PEER);
     actions
         .iter()
@@ -59,8 +59,8 @@
     for tick in 0..20 {
         planner.handle(at(50 * tick), SwarmEvent::PeerUnreachable(PEER));
     }
-    let actions = planner.handle(at(1300), everything());
-    expect_that!(asks_peer(&actions), eq(true));
+    let actions = planner.handle(at(1300), full_bitfield());
+    expect_that!(requests_from_peer(&actions), eq(true));
 }
 
 #[gtest]
@@ -69,8 +69,8 @@
     for chunk in drawn(&first) {
         planner.handle(at(60), SwarmEvent::Verified { chunk, source: ChunkSource::Origin });
     }
-    let asked = planner.handle(at(100), everything());
-    expect_that!(asks_peer(&asked), eq(true));
+    let asked = planner.handle(at(100), full_bitfield());
+    expect_that!(requests_from_peer(&asked), eq(true));
     // The box neither sends chunks nor notes: requests to it are cancelled and not repeated, and the
     // chunks are drawn from the origin.
     let mut later = Vec::new();
@@ -83,7 +83,7 @@
         }
         later.extend(actions);
     }
-    expect_that!(asks_peer(&later), eq(false));
+    expect_that!(requests_from_peer(&later), eq(false));
     expect_that!(planner.is_complete(), eq(true));
 }
 
