--- a/crates/core/src/burst/planner.rs
+++ b/crates/core/src/burst/planner.rs
@@ -18,8 +18,9 @@
 
 mod outcomes;
 
-/// The upload limit starts at one and grows by one for each such number of held chunks. Early in a
-/// burst few boxes hold any chunk, and chunks spread fastest if they are sent one after another.
+/// The limits on concurrent uploads and downloads start at one and grow by one each time this many more
+/// chunks are held. Early in a burst few boxes hold any chunk, and chunks spread fastest if they are sent
+/// one after another.
 const EARLY_CHUNKS: usize = 2;
 
 /// Queue length from which a waiting request is moved to an idle box.
--- a/crates/core/tests/burst_absent.rs
+++ b/crates/core/tests/burst_absent.rs
@@ -55,7 +55,7 @@
 }
 
 impl Simulation {
-    /// A burst of all `seats` in which those in `absent` never begin.
+    /// A burst of all `peers` in which those in `absent` never start.
     fn start(peers: &[PeerLocation], absent: &BTreeSet<PeerKey>) -> Self {
         let mut simulation = Self {
             now: Moment::ZERO,
