--- a/crates/core/src/direct/fact_age.rs
+++ b/crates/core/src/direct/fact_age.rs
@@ -33,19 +33,19 @@
     /// The newest change that has been taken in.
     newest: ChangeMark,
     /// The newest change that others have taken in.
-    told: ChangeMark,
+    peer_newest: ChangeMark,
     /// When the store last said that nothing is missing.
-    confirmed: Option<Moment>,
+    confirmed_at: Option<Moment>,
     /// Since when a change is known to be missing.
     behind_since: Option<Moment>,
     /// Since when the store has not told a change that others know.
-    untold_since: Option<Moment>,
+    missing_from_store_since: Option<Moment>,
     /// When the store was last to be read because of that.
-    due: Option<Moment>,
+    last_reread: Option<Moment>,
     /// When changes were last taken in, from wherever.
-    progressed: Option<Moment>,
+    last_progress: Option<Moment>,
     /// When the store last told changes.
-    store_progressed: Option<Moment>,
+    last_store_progress: Option<Moment>,
 }
 
 impl FactAge {
@@ -54,20 +54,20 @@
         let before = self.confirmed_to;
         self.confirmed_to = self.confirmed_to.max(covered).max(newest);
         if self.confirmed_to > before {
-            self.progressed = Some(now);
-            self.store_progressed = Some(now);
+            self.last_progress = Some(now);
+            self.last_store_progress = Some(now);
         }
         self.covered = self.covered.max(self.confirmed_to);
         self.newest = self.newest.max(newest);
-        self.confirmed = Some(now);
-        self.settle();
+        self.confirmed_at = Some(now);
+        self.clear_resolved();
     }
 
     /// A change has come from another process.
     pub fn take_from_peer(&mut self, newest: ChangeMark) {
         self.covered = self.covered.max(newest);
         self.newest = self.newest.max(newest);
-        self.settle();
+        self.clear_resolved();
     }
 
     /// Another process has handed over everything up to `covered`, of which `newest` is the last
@@ -76,10 +76,10 @@
         let before = self.covered;
         self.covered = self.covered.max(covered).max(newest);
         if self.covered > before {
-            self.progressed = Some(now);
+            self.last_progress = Some(now);
         }
         self.newest = self.newest.max(newest);
-        self.settle();
+        self.clear_resolved();
     }
 
     /// The place up to which no change is missing.
@@ -89,22 +89,22 @@
 
     /// Another process has taken in `newest`.
     pub fn note_told(&mut self, now: Moment, newest: ChangeMark) {
-        self.told = self.told.max(newest);
-        if self.told > self.covered {
+        self.peer_newest = self.peer_newest.max(newest);
+        if self.peer_newest > self.covered {
             self.behind_since.get_or_insert(now);
         }
-        if self.told > self.confirmed_to {
-            self.untold_since.get_or_insert(now);
+        if self.peer_newest > self.confirmed_to {
+            self.missing_from_store_since.get_or_insert(now);
         }
     }
 
-    fn settle(&mut self) {
-        if self.covered >= self.told {
+    fn clear_resolved(&mut self) {
+        if self.covered >= self.peer_newest {
             self.behind_since = None;
         }
-        if self.confirmed_to >= self.told {
-            self.untold_since = None;
-            self.due = None;
+        if self.confirmed_to >= self.peer_newest {
+            self.missing_from_store_since = None;
+            self.last_reread = None;
         }
     }
 
@@ -115,7 +115,7 @@
 
     /// The newest change that anybody is known to have taken in.
     pub fn newest_told(&self) -> ChangeMark {
-        self.told.max(self.newest)
+        self.peer_newest.max(self.newest)
     }
 
     /// How long a change has been known to be missing; none if none is.
@@ -127,30 +127,31 @@
     /// a process that takes them in is always a little behind, and misses nothing.
     pub fn stalled(&self, now: Moment) -> Option<Duration> {
         let since = self.behind_since?;
-        Some(now.since(self.progressed.map_or(since, |at| at.max(since))))
+        Some(now.since(self.last_progress.map_or(since, |at| at.max(since))))
     }
 
     /// Since when the store has not told a change that others know, although it was read or
     /// watched; none if there is no such change.
-    pub fn untold_since(&self) -> Option<Moment> {
-        self.untold_since
+    pub fn missing_from_store_since(&self) -> Option<Moment> {
+        self.missing_from_store_since
     }
 
     /// Whether the store is to be read anew because it has not told a change for `patience`; once
     /// in that time, and not while the store goes on telling others.
-    pub fn take_due(&mut self, now: Moment, patience: Duration) -> bool {
-        let untold =
-            self.untold_since.map(|since| self.store_progressed.map_or(since, |at| at.max(since)));
-        let waits = self.due.max(untold);
-        let is_due = waits.is_some_and(|since| now.since(since) >= patience);
-        if is_due {
-            self.due = Some(now);
+    pub fn take_due(&mut self, now: Moment, timeout: Duration) -> bool {
+        let missing_since = self
+            .missing_from_store_since
+            .map(|since| self.last_store_progress.map_or(since, |at| at.max(since)));
+        let waiting_since = self.last_reread.max(missing_since);
+        let is_overdue = waiting_since.is_some_and(|since| now.since(since) >= timeout);
+        if is_overdue {
+            self.last_reread = Some(now);
         }
-        is_due
+        is_overdue
     }
 
     /// Time since the store last said that nothing is missing; none if it never has.
     pub fn age(&self, now: Moment) -> Option<Duration> {
-        self.confirmed.map(|confirmed| now.since(confirmed))
+        self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 }
--- a/crates/core/src/direct/peers.rs
+++ b/crates/core/src/direct/peers.rs
@@ -19,7 +19,7 @@
 use super::{
     engine_model::EngineLoad,
     fact_age::ChangeMark,
-    plan_readers::{ReaderView, reader_rank},
+    plan_readers::{ReaderCandidate, reader_rank},
     relays::DrainSum,
 };
 use crate::time::Moment;
@@ -33,42 +33,42 @@
 };
 
 /// Silence after which a peer of the own failure domain counts as gone: three notices are lost.
-pub const PEER_SILENCE: Duration = Duration::from_millis(1600);
+pub const NEAR_PEER_TIMEOUT: Duration = Duration::from_millis(1600);
 
 /// The same for peers of other failure domains, which are heard every 1.5 s.
-pub const FAR_SILENCE: Duration = Duration::from_millis(4800);
+pub const FAR_PEER_TIMEOUT: Duration = Duration::from_millis(4800);
 
 /// Age after which the sum over another failure domain says nothing any more: three were lost.
-const DOMAIN_LOAD_LIFE: Duration = Duration::from_millis(700);
+const DOMAIN_LOAD_TTL: Duration = Duration::from_millis(700);
 
 /// Silence of a whole failure domain after which it counts as out of reach: every process there is
 /// heard every 1.5 s, and one of them ten times a second.
-const DOMAIN_SILENCE: Duration = Duration::from_millis(500);
+const DOMAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The same where agents count on each other: they hear other failure domains less often than entries do.
-const AGENT_DOMAIN_SILENCE: Duration = Duration::from_millis(1000);
+const AGENT_DOMAIN_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Silence of everybody after which this process itself may have stopped for a while, or be cut
 /// off, and judges nobody.
-const OWN_SILENCE: Duration = Duration::from_millis(250);
+const LOCAL_STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// Silence of everybody after which this process has been cut off, or stood still: what it waits
 /// for on open connections may never come.
-const CUT_SILENCE: Duration = Duration::from_millis(1500);
+const DISCONNECT_THRESHOLD: Duration = Duration::from_millis(1500);
 
 /// Time for which an address that does not answer is tried.
-const CANDIDATE_LIFE: Duration = Duration::from_secs(32);
+const CANDIDATE_TTL: Duration = Duration::from_secs(32);
 
 /// Age up to which the sum of what entries say of a changing server counts: a relay tells it at once
 /// when it changes, and every 300 ms.
-const DRAIN_SUM_LIFE: Duration = Duration::from_millis(700);
+const DRAIN_SUM_TTL: Duration = Duration::from_millis(700);
 
 /// How much earlier a notice of another life may have been heard than the last word of its sender's
 /// address: relays tell both, by ways of different length.
-const LIFE_SLACK: Duration = Duration::from_millis(200);
+const RESTART_TOLERANCE: Duration = Duration::from_millis(200);
 
 /// Peers named in a notice at most: an address takes 8 bytes.
-pub const NAMED_PEERS: usize = 48;
+pub const MAX_ADVERTISED_PEERS: usize = 48;
 
 /// A peer.
 #[derive(Debug, Clone)]
@@ -115,14 +115,14 @@
     /// The sender's server says something new.
     pub server_changed: bool,
     /// Nobody had been heard for some time: this process was cut off, or stood still.
-    pub after_silence: bool,
+    pub after_disconnect: bool,
 }
 
 /// What the entries of another failure domain have in progress.
 #[derive(Debug, Clone)]
 pub struct DomainLoads {
     /// The entry that told.
-    pub teller: SocketAddr,
+    pub reporter: SocketAddr,
     /// When.
     pub heard: Moment,
     /// What it told.
@@ -168,7 +168,7 @@
     }
 
     /// Adds an address that may be a peer.
-    pub fn suggest(&mut self, now: Moment, address: SocketAddr) {
+    pub fn add_candidate(&mut self, now: Moment, address: SocketAddr) {
         if address != self.own {
             self.candidates.entry(address).or_insert(now);
         }
@@ -181,30 +181,30 @@
     }
 
     /// Takes in a notice.
-    pub fn hear(&mut self, now: Moment, notice: PeerNotice) -> NoticeOutcome {
+    pub fn receive(&mut self, now: Moment, notice: PeerNotice) -> NoticeOutcome {
         if notice.from == self.own {
             return NoticeOutcome::default();
         }
         for address in &notice.peers {
-            self.suggest(now, *address);
+            self.add_candidate(now, *address);
         }
-        let after_silence = self.note_domain(now, now, notice.domain);
+        let after_disconnect = self.record_domain_activity(now, now, notice.domain);
         self.candidates.remove(&notice.from);
         let before = self.peers.get(&notice.from);
         if let Some(peer) = before
-            && peer.notice.life == notice.life
+            && peer.notice.incarnation == notice.incarnation
             && peer.notice.sequence >= notice.sequence
         {
-            return NoticeOutcome { after_silence, ..NoticeOutcome::default() };
+            return NoticeOutcome { after_disconnect, ..NoticeOutcome::default() };
         }
-        let outcome = outcome_of(before, &notice, after_silence);
+        let outcome = outcome_of(before, &notice, after_disconnect);
         let kept_facts = before.filter(|_| notice.changes_only);
         let kept_facts = kept_facts.map(|peer| (peer.facts_sequence, peer.facts_heard));
         let notice = match before {
-            Some(peer) if notice.changes_only => with_changes(&peer.notice, notice),
+            Some(peer) if notice.changes_only => merge_load_changes(&peer.notice, notice),
             _ => notice,
         };
-        self.note_domain_loads(now, &notice);
+        self.record_domain_loads(now, &notice);
         let (facts_sequence, facts_heard) = kept_facts.unwrap_or((notice.sequence, now));
         self.peers.insert(notice.from, Peer { notice, heard: now, facts_sequence, facts_heard });
         outcome
@@ -212,29 +212,29 @@
 
     /// Notes that something was said in a failure domain at `heard`; tells whether nobody had been
     /// heard for some time before.
-    fn note_domain(&mut self, now: Moment, heard: Moment, domain: DomainKey) -> bool {
+    fn record_domain_activity(&mut self, now: Moment, heard: Moment, domain: DomainKey) -> bool {
         let last = self.domains_heard.values().max();
-        let after_silence = last.is_some_and(|last| now.since(*last) > CUT_SILENCE);
+        let after_disconnect = last.is_some_and(|last| now.since(*last) > DISCONNECT_THRESHOLD);
         let at = self.domains_heard.entry(domain).or_insert(heard);
         *at = (*at).max(heard);
-        after_silence
+        after_disconnect
     }
 
-    fn note_domain_loads(&mut self, heard: Moment, notice: &PeerNotice) {
+    fn record_domain_loads(&mut self, heard: Moment, notice: &PeerNotice) {
         let Some(loads) = notice.domain_loads.as_ref() else { return };
         let known = self.domain_loads.get(&notice.domain);
         if notice.domain == self.domain || known.is_some_and(|known| known.heard > heard) {
             return;
         }
-        let loads = DomainLoads { teller: notice.from, heard, loads: loads.clone() };
+        let loads = DomainLoads { reporter: notice.from, heard, loads: loads.clone() };
         self.domain_loads.insert(notice.domain, loads);
     }
 
     /// Silence after which a peer of `domain` counts as gone.
-    fn silence_limit(&self, domain: DomainKey) -> Duration {
+    fn peer_timeout(&self, domain: DomainKey) -> Duration {
         match domain == self.domain {
-            true => PEER_SILENCE,
-            false => FAR_SILENCE,
+            true => NEAR_PEER_TIMEOUT,
+            false => FAR_PEER_TIMEOUT,
         }
     }
 
@@ -262,37 +262,37 @@
 
     /// Drops peers that have fallen silent; they stay candidates for a while.
     pub fn expire(&mut self, now: Moment) -> Vec<SocketAddr> {
-        let silent = |peer: &Peer| now.since(peer.heard) > self.silence_limit(peer.notice.domain);
+        let timed_out = |peer: &Peer| now.since(peer.heard) > self.peer_timeout(peer.notice.domain);
         let gone: Vec<SocketAddr> =
-            self.peers.iter().filter(|(_, peer)| silent(peer)).map(|(at, _)| *at).collect();
-        self.domain_loads.retain(|_, told| now.since(told.heard) <= DOMAIN_LOAD_LIFE);
-        self.drain_sums.retain(|_, (heard, _)| now.since(*heard) <= DRAIN_SUM_LIFE);
+            self.peers.iter().filter(|(_, peer)| timed_out(peer)).map(|(at, _)| *at).collect();
+        self.domain_loads.retain(|_, told| now.since(told.heard) <= DOMAIN_LOAD_TTL);
+        self.drain_sums.retain(|_, (heard, _)| now.since(*heard) <= DRAIN_SUM_TTL);
         for address in &gone {
             self.peers.remove(address);
             self.candidates.insert(*address, now);
         }
-        self.candidates.retain(|_, since| now.since(*since) < CANDIDATE_LIFE);
+        self.candidates.retain(|_, since| now.since(*since) < CANDIDATE_TTL);
         gone
     }
 
     /// Other failure domains from which nothing has come for so long that they count as out of
     /// reach.
-    pub fn silent_domains(&self, now: Moment) -> BTreeSet<DomainKey> {
-        self.domains_silent_for(now, DOMAIN_SILENCE)
+    pub fn unreachable_domains(&self, now: Moment) -> BTreeSet<DomainKey> {
+        self.domains_not_heard_for(now, DOMAIN_TIMEOUT)
     }
 
-    /// Peers that live and whose failure domain has been heard within [`AGENT_DOMAIN_SILENCE`]. Agents of
+    /// Peers that live and whose failure domain has been heard within [`AGENT_DOMAIN_TIMEOUT`]. Agents of
     /// others draw nothing for this one and have no turn before it: whoever counted on them would wait until
     /// each of them is given up.
-    pub fn in_reach(&self, now: Moment) -> impl Iterator<Item = &Peer> {
-        let silent = self.domains_silent_for(now, AGENT_DOMAIN_SILENCE);
-        self.living().filter(move |peer| !silent.contains(&peer.notice.domain))
+    pub fn reachable(&self, now: Moment) -> impl Iterator<Item = &Peer> {
+        let timed_out = self.domains_not_heard_for(now, AGENT_DOMAIN_TIMEOUT);
+        self.living().filter(move |peer| !timed_out.contains(&peer.notice.domain))
     }
 
     /// Other failure domains from which nothing has come for `silence`.
-    fn domains_silent_for(&self, now: Moment, silence: Duration) -> BTreeSet<DomainKey> {
+    fn domains_not_heard_for(&self, now: Moment, silence: Duration) -> BTreeSet<DomainKey> {
         let last = self.domains_heard.values().max();
-        if last.is_none_or(|last| now.since(*last) > OWN_SILENCE) {
+        if last.is_none_or(|last| now.since(*last) > LOCAL_STALL_THRESHOLD) {
             return BTreeSet::new();
         }
         let far = self.domains_heard.iter().filter(|(domain, _)| **domain != self.domain);
@@ -330,11 +330,11 @@
     }
 
     /// Peers to name in a notice.
-    pub fn named(&self, turn: usize) -> Vec<SocketAddr> {
+    pub fn peers_to_advertise(&self, turn: usize) -> Vec<SocketAddr> {
         let count = self.peers.len();
         let start = turn.checked_rem(count).unwrap_or(0);
         let rotated = self.peers.keys().cycle().skip(start);
-        rotated.take(count.min(NAMED_PEERS)).copied().collect()
+        rotated.take(count.min(MAX_ADVERTISED_PEERS)).copied().collect()
     }
 
     /// Entries of the own failure domain that live, other than this process.
@@ -345,7 +345,7 @@
 
     /// Whether this entry is the one that tells other failure domains what its own has in
     /// progress: the first by address of those that live.
-    pub fn speaks_for_domain(&self) -> bool {
+    pub fn is_domain_reporter(&self) -> bool {
         self.near_entries().all(|peer| peer.notice.from > self.own)
     }
 
@@ -374,7 +374,7 @@
 
     /// Rank of this entry among those of its failure domain that read the store; none if it does not.
     pub fn reader_rank(&self) -> Option<usize> {
-        let view = |peer: &Peer| ReaderView {
+        let view = |peer: &Peer| ReaderCandidate {
             address: peer.notice.from,
             reads_store: peer.notice.reads_store,
         };
@@ -399,7 +399,7 @@
 
     /// Whether an entry of the own failure domain is known to read the store.
     pub fn has_near_reader(&self) -> bool {
-        let mut told = self.near_entries().filter(|peer| peer.notice.life != 0);
+        let mut told = self.near_entries().filter(|peer| peer.notice.incarnation != 0);
         told.any(|peer| peer.notice.reads_store)
     }
 
@@ -430,15 +430,15 @@
 
 /// Whether a notice that was handed on says more than what is known of its sender.
 fn is_newer(peer: &Peer, notice: &PeerNotice, heard: Moment) -> bool {
-    match peer.notice.life == notice.life {
+    match peer.notice.incarnation == notice.incarnation {
         true => notice.sequence > peer.facts_sequence,
-        false => peer.notice.life == 0 || heard + LIFE_SLACK >= peer.heard,
+        false => peer.notice.incarnation == 0 || heard + RESTART_TOLERANCE >= peer.heard,
     }
 }
 
-fn outcome_of(before: Option<&Peer>, notice: &PeerNotice, after_silence: bool) -> NoticeOutcome {
+fn outcome_of(before: Option<&Peer>, notice: &PeerNotice, after_disconnect: bool) -> NoticeOutcome {
     NoticeOutcome {
-        after_silence,
+        after_disconnect,
         joined: before.is_none(),
         server_changed: notice.server.is_some()
             && before.is_none_or(|peer| peer.notice.server != notice.server),
@@ -463,7 +463,7 @@
 }
 
 /// A notice that was handed on, with what its sender last said directly of what it has in progress.
-fn with_direct_part(last: Option<&Peer>, notice: PeerNotice) -> PeerNotice {
+fn keep_direct_fields(last: Option<&Peer>, notice: PeerNotice) -> PeerNotice {
     let Some(last) = last.map(|peer| &peer.notice) else { return notice };
     PeerNotice {
         // Direct notices that are under way must not be taken for old ones.
@@ -482,12 +482,17 @@
 }
 
 /// A peer's last notice with the loads that a newer one changes; those of an earlier life are gone.
-fn with_changes(last: &PeerNotice, changes: PeerNotice) -> PeerNotice {
+fn merge_load_changes(last: &PeerNotice, changes: PeerNotice) -> PeerNotice {
     let is_changed =
         |load: &LoadNotice| changes.loads.iter().any(|change| change.server == load.server);
-    let same_life = last.life == changes.life;
-    let kept = last.loads.iter().filter(|load| same_life && !is_changed(load));
+    let same_incarnation = last.incarnation == changes.incarnation;
+    let kept = last.loads.iter().filter(|load| same_incarnation && !is_changed(load));
     let mut loads: Vec<LoadNotice> = kept.copied().collect();
     loads.extend(changes.loads.iter().filter(|load| load.load.in_flight > 0));
-    PeerNotice { life: changes.life, sequence: changes.sequence, loads, ..last.clone() }
+    PeerNotice {
+        incarnation: changes.incarnation,
+        sequence: changes.sequence,
+        loads,
+        ..last.clone()
+    }
 }
--- a/crates/core/src/direct/peers/notice.rs
+++ b/crates/core/src/direct/peers/notice.rs
@@ -114,7 +114,7 @@
     /// Its failure domain.
     pub domain: DomainKey,
     /// Drawn at its start, so that a restarted one is not taken for an old one.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with every notice of a life.
     pub sequence: u64,
     /// Version of the plan that it has.
@@ -156,7 +156,7 @@
             from,
             kind,
             domain,
-            life: 1,
+            incarnation: 1,
             sequence: 1,
             plan: 0,
             servers: ChangeMark::default(),
--- a/crates/core/src/direct/peers/relayed.rs
+++ b/crates/core/src/direct/peers/relayed.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    DOMAIN_SILENCE, DomainKey, NAMED_PEERS, NoticeOutcome, Peer, PeerKind, PeerNotice, PeerTable,
-    is_newer, outcome_of, with_direct_part,
+    DOMAIN_TIMEOUT, DomainKey, MAX_ADVERTISED_PEERS, NoticeOutcome, Peer, PeerKind, PeerNotice,
+    PeerTable, is_newer, keep_direct_fields, outcome_of,
 };
 use crate::{
     direct::relays::{DomainRoster, DrainSum, RELAYS, RosterMember},
@@ -18,13 +18,13 @@
 /// Age up to which an entry of another failure domain is thought to relay there: its relays tell who
 /// lives every 0.5 s, and members tell them as often. Where all relays of a failure domain die, its
 /// members tell everybody, and others there are heard of sooner than those are dropped.
-const FRESH_RELAY: Duration = Duration::from_millis(2000);
+const FAR_RELAY_MAX_AGE: Duration = Duration::from_millis(2000);
 
 impl PeerTable {
     /// Takes in the facts of a notice that a relay has handed on, whose sender was heard `age` ago.
     ///
     /// What the sender has in progress stays as it is: that is told directly.
-    pub fn hear_relayed(
+    pub fn apply_relayed(
         &mut self,
         now: Moment,
         notice: PeerNotice,
@@ -34,33 +34,33 @@
             return NoticeOutcome::default();
         }
         let heard = now - age;
-        let after_silence = self.note_domain(now, heard, notice.domain);
+        let after_disconnect = self.record_domain_activity(now, heard, notice.domain);
         self.candidates.remove(&notice.from);
-        self.note_domain_loads(heard, &notice);
+        self.record_domain_loads(heard, &notice);
         let before = self.peers.get(&notice.from);
         if !before.is_none_or(|peer| is_newer(peer, &notice, heard)) {
             if let Some(peer) = self.peers.get_mut(&notice.from)
-                && peer.notice.life == notice.life
+                && peer.notice.incarnation == notice.incarnation
             {
                 peer.heard = peer.heard.max(heard);
             }
-            return NoticeOutcome { after_silence, ..NoticeOutcome::default() };
+            return NoticeOutcome { after_disconnect, ..NoticeOutcome::default() };
         }
-        let outcome = outcome_of(before, &notice, after_silence);
-        let last = before.filter(|peer| peer.notice.life == notice.life);
+        let outcome = outcome_of(before, &notice, after_disconnect);
+        let last = before.filter(|peer| peer.notice.incarnation == notice.incarnation);
         let peer = Peer {
             heard: before.map_or(heard, |peer| peer.heard.max(heard)),
             facts_sequence: notice.sequence,
             facts_heard: now,
-            notice: with_direct_part(last, notice),
+            notice: keep_direct_fields(last, notice),
         };
         self.peers.insert(peer.notice.from, peer);
         outcome
     }
 
     /// Takes in who lives in a failure domain; tells whether somebody new is among them.
-    pub fn hear_roster(&mut self, now: Moment, roster: &DomainRoster) -> bool {
-        let limit = self.silence_limit(roster.domain);
+    pub fn apply_roster(&mut self, now: Moment, roster: &DomainRoster) -> bool {
+        let limit = self.peer_timeout(roster.domain);
         let living = roster.members.iter().filter(|member| member.age <= limit);
         let mut joined = false;
         for member in living.filter(|member| member.address != self.own) {
@@ -71,7 +71,7 @@
                 None => {
                     joined = true;
                     let empty = PeerNotice::empty(member.address, member.kind, roster.domain);
-                    let notice = PeerNotice { life: 0, sequence: 0, ..empty };
+                    let notice = PeerNotice { incarnation: 0, sequence: 0, ..empty };
                     let peer = Peer { notice, heard, facts_sequence: 0, facts_heard: now };
                     self.peers.insert(member.address, peer);
                 }
@@ -81,7 +81,7 @@
     }
 
     /// Takes in what the entries of a failure domain say of the own server.
-    pub fn hear_drain_sum(&mut self, now: Moment, domain: DomainKey, sum: DrainSum) {
+    pub fn apply_drain_sum(&mut self, now: Moment, domain: DomainKey, sum: DrainSum) {
         self.drain_sums.insert(domain, (now, sum));
     }
 
@@ -105,7 +105,7 @@
         let entries = self.living().filter(|peer| peer.notice.kind == PeerKind::Entry);
         for peer in entries.filter(|peer| !self.is_near(peer)) {
             let (fresh, old) = relays.entry(peer.notice.domain).or_default();
-            let is_fresh = now.since(peer.heard) <= FRESH_RELAY;
+            let is_fresh = now.since(peer.heard) <= FAR_RELAY_MAX_AGE;
             let known = if is_fresh { fresh } else { old };
             known.push(peer.notice.from);
         }
@@ -115,9 +115,9 @@
 
     /// Whether somebody of the own failure domain was heard a moment ago, so that silence of others is
     /// not this process's own.
-    pub fn hears_near(&self, now: Moment) -> bool {
+    pub fn has_recent_domain_contact(&self, now: Moment) -> bool {
         let heard = self.domains_heard.get(&self.domain);
-        heard.is_some_and(|heard| now.since(*heard) <= DOMAIN_SILENCE)
+        heard.is_some_and(|heard| now.since(*heard) <= DOMAIN_TIMEOUT)
     }
 
     /// Peers to name to one that has just been found in `domain`: those that relay there first.
@@ -125,15 +125,16 @@
     /// Where relays tell who lives, only they name anybody: after a loss of power everybody finds
     /// everybody within a second, and names from all entries to all processes are more than the links
     /// between regions carry.
-    pub fn named_to(&self, domain: DomainKey, turn: usize) -> Vec<SocketAddr> {
+    pub fn peers_to_advertise_in(&self, domain: DomainKey, turn: usize) -> Vec<SocketAddr> {
         if self.peers.len() >= self.mesh_limit && self.relay_rank().is_none() {
             return Vec::new();
         }
         let entries = self.living().filter(|peer| peer.notice.kind == PeerKind::Entry);
         let relays = entries.filter(|peer| peer.notice.domain == domain).take(RELAYS);
         let mut named: Vec<SocketAddr> = relays.map(|peer| peer.notice.from).collect();
-        let others = self.named(turn).into_iter().filter(|address| !named.contains(address));
-        let others: Vec<SocketAddr> = others.take(NAMED_PEERS - RELAYS).collect();
+        let others =
+            self.peers_to_advertise(turn).into_iter().filter(|address| !named.contains(address));
+        let others: Vec<SocketAddr> = others.take(MAX_ADVERTISED_PEERS - RELAYS).collect();
         named.extend(others);
         named
     }
--- a/crates/core/src/direct/plan_readers.rs
+++ b/crates/core/src/direct/plan_readers.rs
@@ -13,13 +13,13 @@
 ///
 /// After a loss of power all of them lack everything at once. If each read the list of servers for itself,
 /// the link to the store's region would be full of copies of it.
-pub fn turn_time(first: Duration, before: usize) -> Duration {
+pub fn fallback_read_delay(first: Duration, before: usize) -> Duration {
     first * (1 + before / PLAN_READERS) as u32
 }
 
 /// An entry of the own failure domain that lives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReaderView {
+pub struct ReaderCandidate {
     /// Where it hears notices.
     pub address: SocketAddr,
     /// Its calls to the store are answered, as far as it knows.
@@ -28,13 +28,16 @@
 
 /// Rank of the entry at `own` among those of its failure domain that read the store; none if it does
 /// not: the first by address do, of those whose calls are answered.
-pub fn reader_rank(own: SocketAddr, others: impl Iterator<Item = ReaderView>) -> Option<usize> {
+pub fn reader_rank(
+    own: SocketAddr,
+    others: impl Iterator<Item = ReaderCandidate>,
+) -> Option<usize> {
     let before = others.filter(|other| other.reads_store && other.address < own);
     let rank = before.take(PLAN_READERS).count();
     (rank < PLAN_READERS).then_some(rank)
 }
 
 /// Whether the entry at `own` reads the plan from the store.
-pub fn is_plan_reader(own: SocketAddr, others: impl Iterator<Item = ReaderView>) -> bool {
+pub fn is_plan_reader(own: SocketAddr, others: impl Iterator<Item = ReaderCandidate>) -> bool {
     reader_rank(own, others).is_some()
 }
--- a/crates/core/src/direct/plan_source.rs
+++ b/crates/core/src/direct/plan_source.rs
@@ -32,17 +32,17 @@
 const RANK_WAIT: Duration = Duration::from_millis(100);
 
 /// Entries of the failure domain that are waited for at most: they may be cut off as well.
-const MOST_RANKS: u32 = 3;
+const MAX_RANKS: u32 = 3;
 
 /// Time between two readings of the store by an entry whose watch is late.
-const READ_PAUSE: Duration = Duration::from_millis(900);
+const READ_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Time after which also an entry that is not to read the plan reads it: nobody hands it over.
-const LAST_RESORT: Duration = Duration::from_millis(1500);
+const FALLBACK_READ_DELAY: Duration = Duration::from_millis(1500);
 
 /// What an entry that is behind sees of the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HolderView {
+pub struct PlanHolders {
     /// This entry reads the plan from the store, and its watch is not late.
     pub reads_store: bool,
     /// Entries of the own failure domain that have the newer plan.
@@ -72,16 +72,16 @@
     /// The store has said that `version` is the newest plan.
     pub fn confirm_from_store(&mut self, now: Moment, version: ChangeMark) {
         self.age.confirm_from_store(now, version, version);
-        self.settle(now);
+        self.clear_failures(now);
     }
 
     /// A plan has been taken over, wherever it came from.
     pub fn take_from_peer(&mut self, now: Moment, version: ChangeMark) {
         self.age.take_from_peer(version);
-        self.settle(now);
+        self.clear_failures(now);
     }
 
-    fn settle(&mut self, now: Moment) {
+    fn clear_failures(&mut self, now: Moment) {
         if self.age.behind(now).is_none() {
             self.failed.clear();
         }
@@ -109,18 +109,19 @@
 
     /// Whether this entry reads the store, and what others have should have come from there by
     /// now: somebody else is to read in its place until the store tells it something.
-    pub fn is_watch_late(&self, now: Moment) -> bool {
-        let waits = self.reader_since.zip(self.age.untold_since());
-        waits.is_some_and(|(reader, untold)| now.since(reader.max(untold)) >= FAR_WAIT)
+    pub fn is_watch_overdue(&self, now: Moment) -> bool {
+        let waiting_since = self.reader_since.zip(self.age.missing_from_store_since());
+        waiting_since
+            .is_some_and(|(reader, missing_since)| now.since(reader.max(missing_since)) >= FAR_WAIT)
     }
 
     /// Whom to ask now, of those that have the newer plan; `draw` is random.
     ///
     /// Holders that failed are asked again only once all others have failed as well.
-    pub fn holder(&self, now: Moment, view: &HolderView, draw: u64) -> Option<SocketAddr> {
+    pub fn holder(&self, now: Moment, view: &PlanHolders, draw: u64) -> Option<SocketAddr> {
         let behind = self.age.behind(now)?;
         let near_wait = if view.reads_store { NEAR_WAIT } else { Duration::ZERO };
-        let far_wait = FAR_WAIT + RANK_WAIT * view.before.min(MOST_RANKS);
+        let far_wait = FAR_WAIT + RANK_WAIT * view.before.min(MAX_RANKS);
         let near = view.near.iter().filter(|_| behind >= near_wait);
         let far = view.far.iter().filter(|_| behind >= far_wait);
         let is_untried = |holder: &&SocketAddr| !self.failed.contains(*holder);
@@ -136,8 +137,9 @@
     /// Whether the store is to be read now: by an entry whose watch is late, also where a neighbour
     /// has helped, and by any other only if nobody hands the plan over, as it is large and links
     /// between regions are narrow.
-    pub fn take_read(&mut self, now: Moment, is_reader: bool) -> bool {
-        let is_alone = self.age.behind(now).is_some_and(|behind| behind >= LAST_RESORT);
-        (is_reader || is_alone) && self.age.take_due(now, READ_PAUSE)
+    pub fn take_due_read(&mut self, now: Moment, is_reader: bool) -> bool {
+        let is_fallback_due =
+            self.age.behind(now).is_some_and(|behind| behind >= FALLBACK_READ_DELAY);
+        (is_reader || is_fallback_due) && self.age.take_due(now, READ_INTERVAL)
     }
 }
--- a/crates/core/src/direct/relay_outbox.rs
+++ b/crates/core/src/direct/relay_outbox.rs
@@ -16,12 +16,12 @@
 
 /// Rounds in which everything is told once more, changed or not: a datagram may be lost, and whoever
 /// has just come has heard nothing. A round is told every 200 ms.
-const REPEAT_ROUNDS: usize = 30;
+const RESEND_ROUNDS: usize = 30;
 
 /// What is handed on of a notice.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct ToldFacts {
-    life: u64,
+struct SentFacts {
+    incarnation: u64,
     plan: u64,
     reads_store: bool,
     server: Option<ServerNotice>,
@@ -29,11 +29,11 @@
     evacuated: BTreeSet<DomainKey>,
 }
 
-impl ToldFacts {
+impl SentFacts {
     fn of(notice: &PeerNotice) -> Self {
         let wanted = notice.wanted.iter().map(|one| (one.model.clone(), one.version));
         Self {
-            life: notice.life,
+            incarnation: notice.incarnation,
             plan: notice.plan,
             reads_store: notice.reads_store,
             server: notice.server.clone(),
@@ -42,9 +42,9 @@
         }
     }
 
-    fn is_of(&self, notice: &PeerNotice) -> bool {
+    fn matches(&self, notice: &PeerNotice) -> bool {
         let wanted = notice.wanted.iter().map(|one| (&one.model, one.version));
-        self.life == notice.life
+        self.incarnation == notice.incarnation
             && self.plan == notice.plan
             && self.reads_store == notice.reads_store
             && self.server == notice.server
@@ -74,11 +74,11 @@
 /// What one relay has told.
 #[derive(Debug, Clone, Default)]
 pub struct RelayOutbox {
-    told: BTreeMap<SocketAddr, ToldFacts>,
+    sent: BTreeMap<SocketAddr, SentFacts>,
     /// Members of the own failure domain that have been told everything once, with their lives.
     members: BTreeMap<SocketAddr, u64>,
     /// Relays of other failure domains that have been told everything once.
-    far_relays: BTreeSet<SocketAddr>,
+    known_relays: BTreeSet<SocketAddr>,
     round: usize,
 }
 
@@ -86,27 +86,28 @@
     /// What has changed since the last call; with `repeats`, a part of what has not as well.
     pub fn take_due(&mut self, now: Moment, peers: &PeerTable, repeats: bool) -> DueNotices {
         self.round += usize::from(repeats);
-        let turn = self.round % REPEAT_ROUNDS;
+        let turn = self.round % RESEND_ROUNDS;
         let mut due = DueNotices::default();
         for (place, peer) in peers.living().enumerate() {
-            let is_repeated = repeats && place % REPEAT_ROUNDS == turn;
-            if !self.is_told(peer) || is_repeated {
+            let is_repeated = repeats && place % RESEND_ROUNDS == turn;
+            if !self.mark_sent(peer) || is_repeated {
                 due.add(now, peers, peer);
             }
         }
         if repeats && turn == 0 {
-            self.told.retain(|address, _| peers.knows(*address));
+            self.sent.retain(|address, _| peers.knows(*address));
         }
         due
     }
 
     /// Members of the own failure domain that have just come: they are to be told everything.
-    pub fn take_newcomers(&mut self, peers: &PeerTable) -> Vec<SocketAddr> {
-        let heard = peers.living().filter(|peer| peers.is_near(peer) && peer.notice.life != 0);
+    pub fn take_new_members(&mut self, peers: &PeerTable) -> Vec<SocketAddr> {
+        let heard =
+            peers.living().filter(|peer| peers.is_near(peer) && peer.notice.incarnation != 0);
         let mut newcomers = Vec::new();
         for peer in heard {
-            let known = self.members.insert(peer.notice.from, peer.notice.life);
-            if known != Some(peer.notice.life) {
+            let known = self.members.insert(peer.notice.from, peer.notice.incarnation);
+            if known != Some(peer.notice.incarnation) {
                 newcomers.push(peer.notice.from);
             }
         }
@@ -117,26 +118,26 @@
     /// Those of the relays of other failure domains that have just become known: they are to be told
     /// everything of this one.
     pub fn take_new_relays(&mut self, relays: &[SocketAddr]) -> Vec<SocketAddr> {
-        let new = relays.iter().filter(|relay| !self.far_relays.contains(relay));
+        let new = relays.iter().filter(|relay| !self.known_relays.contains(relay));
         let new: Vec<SocketAddr> = new.copied().collect();
-        self.far_relays = relays.iter().copied().collect();
+        self.known_relays = relays.iter().copied().collect();
         new
     }
 
     /// Everything that members are told.
-    pub fn everything(now: Moment, peers: &PeerTable) -> DueNotices {
+    pub fn all_notices(now: Moment, peers: &PeerTable) -> DueNotices {
         let mut due = DueNotices::default();
         peers.living().for_each(|peer| due.add(now, peers, peer));
         due
     }
 
     /// Whether the facts of a peer have been told; from now on they have.
-    fn is_told(&mut self, peer: &Peer) -> bool {
-        let told = self.told.get(&peer.notice.from);
-        if told.is_some_and(|told| told.is_of(&peer.notice)) {
+    fn mark_sent(&mut self, peer: &Peer) -> bool {
+        let sent = self.sent.get(&peer.notice.from);
+        if sent.is_some_and(|sent| sent.matches(&peer.notice)) {
             return true;
         }
-        self.told.insert(peer.notice.from, ToldFacts::of(&peer.notice));
+        self.sent.insert(peer.notice.from, SentFacts::of(&peer.notice));
         false
     }
 }
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -17,11 +17,11 @@
 pub const RELAYS: usize = 2;
 
 /// Silence after which a relay is not relied on; it says something every 200 ms.
-pub const RELAY_SILENCE: Duration = Duration::from_millis(450);
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Age up to which a relay counts as hearing this process, which tells it something every 500 ms:
 /// two notices are lost.
-const OWN_NOTICE_LIFE: Duration = Duration::from_millis(1300);
+const ACK_TTL: Duration = Duration::from_millis(1300);
 
 /// A member of a failure domain that lives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -94,49 +94,49 @@
 
 /// Relays of one other failure domain that are told something at most, those among them that do not
 /// hear or are not heard: these are told on, so that they are known to be back.
-const MOST_TOLD: usize = 2 * RELAYS;
+const MAX_TARGETS: usize = 2 * RELAYS;
 
 /// Time that a relay of another failure domain has to answer before it is judged: it may have to begin.
-const FIRST_ANSWER: Duration = Duration::from_millis(2500);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Silence after which such a relay is not heard; it says something every 100 ms.
-const FAR_RELAY_SILENCE: Duration = Duration::from_millis(1200);
+const FAR_RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Age up to which such a relay counts as hearing this one: it says every 500 ms whom it hears, and two
 /// such words are lost.
-const FAR_ECHO_LIFE: Duration = Duration::from_millis(1800);
+const FAR_ACK_TTL: Duration = Duration::from_millis(1800);
 
 /// Time for which relays of other failure domains must have told an entry something before it relays
 /// whatever its rank: while processes start, these take anybody for a relay for a moment.
-const ASKED_TIME: Duration = Duration::from_millis(1000);
+const RELAY_ROLE_DELAY: Duration = Duration::from_millis(1000);
 
 /// What a relay knows of one of another failure domain.
 #[derive(Debug, Clone, Copy, Default)]
-struct FarMarks {
+struct FarRelayState {
     /// When it was first told something, if it is told something now.
-    told_since: Option<Moment>,
+    contacted_since: Option<Moment>,
     /// When it was last told something.
-    told: Moment,
+    last_contacted: Moment,
     /// When it was last heard, not by way of others.
     heard: Option<Moment>,
     /// When it last heard this one, as far as it has said.
-    hears_me: Option<Moment>,
+    hears_self: Option<Moment>,
 }
 
-impl FarMarks {
-    fn note_told(&mut self, now: Moment) {
-        if now.since(self.told) > FAR_RELAY_SILENCE {
-            self.told_since = None;
+impl FarRelayState {
+    fn record_contact(&mut self, now: Moment) {
+        if now.since(self.last_contacted) > FAR_RELAY_TIMEOUT {
+            self.contacted_since = None;
         }
-        self.told = now;
-        self.told_since.get_or_insert(now);
+        self.last_contacted = now;
+        self.contacted_since.get_or_insert(now);
     }
 
     /// Whether what is told goes both ways, or may not have come back yet.
-    fn is_sound(&self, now: Moment) -> bool {
+    fn is_bidirectional(&self, now: Moment) -> bool {
         let within = |at: Option<Moment>, age: Duration| at.is_some_and(|at| now.since(at) <= age);
-        let answers = within(self.heard, FAR_RELAY_SILENCE) && within(self.hears_me, FAR_ECHO_LIFE);
-        answers || within(self.told_since, FIRST_ANSWER)
+        let answers = within(self.heard, FAR_RELAY_TIMEOUT) && within(self.hears_self, FAR_ACK_TTL);
+        answers || within(self.contacted_since, FIRST_REPLY_TIMEOUT)
     }
 }
 
@@ -147,34 +147,34 @@
 /// not come back, the next entries of the failure domain are told as well, and these relay for as long.
 #[derive(Debug, Clone, Default)]
 pub struct FarRelays {
-    marks: BTreeMap<SocketAddr, FarMarks>,
+    states: BTreeMap<SocketAddr, FarRelayState>,
     /// Since when relays of other failure domains have told this entry something, and the last time.
-    asked: Option<(Moment, Moment)>,
+    contacted_by: Option<(Moment, Moment)>,
 }
 
 impl FarRelays {
     /// Takes in a bundle that a relay of another failure domain has sent to `own`.
     pub fn note(&mut self, now: Moment, own: SocketAddr, bundle: &PeerBundle) {
-        let marks = self.marks.entry(bundle.from).or_default();
-        marks.heard = Some(now);
+        let state = self.states.entry(bundle.from).or_default();
+        state.heard = Some(now);
         let echo = bundle.hears.iter().find(|member| member.address == own);
-        marks.hears_me = marks.hears_me.max(echo.map(|member| now - member.age));
-        self.asked = match self.asked {
-            Some((since, last)) if now.since(last) <= ASKED_TIME => Some((since, now)),
+        state.hears_self = state.hears_self.max(echo.map(|member| now - member.age));
+        self.contacted_by = match self.contacted_by {
+            Some((since, last)) if now.since(last) <= RELAY_ROLE_DELAY => Some((since, now)),
             _ => Some((now, now)),
         };
     }
 
     /// Whether a relay is told something and is known not to hear it.
-    pub fn is_deaf(&self, now: Moment, relay: SocketAddr) -> bool {
-        let marks = self.marks.get(&relay);
-        marks.is_some_and(|marks| marks.told_since.is_some() && !marks.is_sound(now))
+    pub fn is_one_way(&self, now: Moment, relay: SocketAddr) -> bool {
+        let state = self.states.get(&relay);
+        state.is_some_and(|state| state.contacted_since.is_some() && !state.is_bidirectional(now))
     }
 
     /// Whether relays of other failure domains tell this entry what it is to hand on.
-    pub fn is_asked(&self, now: Moment) -> bool {
-        self.asked.is_some_and(|(since, last)| {
-            now.since(last) <= ASKED_TIME && now.since(since) >= ASKED_TIME
+    pub fn is_used_as_relay(&self, now: Moment) -> bool {
+        self.contacted_by.is_some_and(|(since, last)| {
+            now.since(last) <= RELAY_ROLE_DELAY && now.since(since) >= RELAY_ROLE_DELAY
         })
     }
 
@@ -184,73 +184,73 @@
         &mut self,
         now: Moment,
         entries: &[Vec<SocketAddr>],
-        judges: bool,
+        check_links: bool,
     ) -> Vec<SocketAddr> {
         let mut chosen = Vec::new();
         for domain in entries {
-            let mut sound = 0;
-            for entry in domain.iter().take(MOST_TOLD) {
-                if sound == RELAYS {
+            let mut working = 0;
+            for entry in domain.iter().take(MAX_TARGETS) {
+                if working == RELAYS {
                     break;
                 }
-                let marks = self.marks.entry(*entry).or_default();
-                marks.note_told(now);
-                sound += usize::from(!judges || marks.is_sound(now));
+                let state = self.states.entry(*entry).or_default();
+                state.record_contact(now);
+                working += usize::from(!check_links || state.is_bidirectional(now));
                 chosen.push(*entry);
             }
         }
-        self.marks.retain(|_, marks| {
-            let heard = marks.heard.is_some_and(|heard| now.since(heard) <= FAR_ECHO_LIFE);
-            heard || now.since(marks.told) <= FAR_ECHO_LIFE
+        self.states.retain(|_, state| {
+            let heard = state.heard.is_some_and(|heard| now.since(heard) <= FAR_ACK_TTL);
+            heard || now.since(state.last_contacted) <= FAR_ACK_TTL
         });
         chosen
     }
 
     /// The relays that are heard, for these to know.
     pub fn heard(&self, now: Moment) -> Vec<RosterMember> {
-        let heard = self.marks.iter().filter_map(|(address, marks)| {
-            let age = now.since(marks.heard?);
+        let heard = self.states.iter().filter_map(|(address, state)| {
+            let age = now.since(state.heard?);
             Some(RosterMember { address: *address, kind: PeerKind::Entry, age })
         });
-        heard.filter(|member| member.age <= FAR_ECHO_LIFE).collect()
+        heard.filter(|member| member.age <= FAR_ACK_TTL).collect()
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct RelayMarks {
+struct NearRelayState {
     heard: Moment,
     /// When it last heard this process, as far as it has said.
-    hears_me: Option<Moment>,
+    hears_self: Option<Moment>,
 }
 
 /// The relays that one process hears.
 #[derive(Debug, Clone, Default)]
-pub struct HeardRelays {
-    relays: BTreeMap<SocketAddr, RelayMarks>,
+pub struct NearRelays {
+    relays: BTreeMap<SocketAddr, NearRelayState>,
 }
 
-impl HeardRelays {
+impl NearRelays {
     /// Takes in that a relay of the own failure domain has said something, and how long ago it heard
     /// this process, if it says so.
     pub fn note(&mut self, now: Moment, relay: SocketAddr, own_age: Option<Duration>) {
-        let fresh = RelayMarks { heard: now, hears_me: None };
-        let marks = self.relays.entry(relay).or_insert(fresh);
-        marks.heard = now;
-        marks.hears_me = marks.hears_me.max(own_age.map(|age| now - age));
+        let fresh = NearRelayState { heard: now, hears_self: None };
+        let state = self.relays.entry(relay).or_insert(fresh);
+        state.heard = now;
+        state.hears_self = state.hears_self.max(own_age.map(|age| now - age));
     }
 
     /// Relays that can be relied on: they are heard, and hear this process.
     pub fn usable(&self, now: Moment) -> Vec<SocketAddr> {
-        let is_usable = |marks: &RelayMarks| {
-            let hears_me = marks.hears_me.is_some_and(|at| now.since(at) <= OWN_NOTICE_LIFE);
-            hears_me && now.since(marks.heard) <= RELAY_SILENCE
+        let is_usable = |state: &NearRelayState| {
+            let hears_self = state.hears_self.is_some_and(|at| now.since(at) <= ACK_TTL);
+            hears_self && now.since(state.heard) <= RELAY_TIMEOUT
         };
-        let usable = self.relays.iter().filter(|(_, marks)| is_usable(marks));
+        let usable = self.relays.iter().filter(|(_, state)| is_usable(state));
         usable.map(|(relay, _)| *relay).collect()
     }
 
     /// Forgets relays that have been silent for long.
     pub fn expire(&mut self, now: Moment) {
-        self.relays.retain(|_, marks| now.since(marks.heard) <= OWN_NOTICE_LIFE);
+        self.relays.retain(|_, state| now.since(state.heard) <= ACK_TTL);
     }
 }
--- a/crates/core/src/direct/retry_share.rs
+++ b/crates/core/src/direct/retry_share.rs
@@ -13,15 +13,15 @@
 
 /// Time after the first start of the whole system in which little of the common slack is used: the
 /// other entries are not all known yet.
-const LEARNING_TIME: Duration = Duration::from_secs(3);
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
 /// Retries that an entry may use after any other start, if there is any slack at all: a stream that its
 /// server cuts short may go on elsewhere.
-const LEAST_AFTER_RESTART: usize = 1;
+const MIN_AFTER_RESTART: usize = 1;
 
 /// Retries of the slack that an entry may use while others or earlier lives may use it as well: those of
 /// all entries together stay well below the whole.
-const LEARNING_SHARE: f64 = 3.0;
+const MAX_STARTUP_SLACK: f64 = 3.0;
 
 /// Figures of the common budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -45,9 +45,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryStart {
     /// The whole system starts for the first time: nothing was sent before.
-    WithAllOthers,
+    FirstStart,
     /// Others run, or it has run before.
-    Again,
+    Restart,
 }
 
 /// Counts requests and retries of one entry.
@@ -92,7 +92,7 @@
 
     /// The most entries that were known to live within the window: those that are out of reach
     /// may still use their shares, and what the dead have used still counts.
-    fn most_entries(&mut self, now: Moment, entries: usize) -> usize {
+    fn max_entries(&mut self, now: Moment, entries: usize) -> usize {
         let window = self.budget.window;
         while self.entries.front().is_some_and(|(at, _)| now.since(*at) > window) {
             self.entries.pop_front();
@@ -115,9 +115,9 @@
 
     /// This entry's share of the slack.
     fn slack_share(&self, now: Moment, entries: usize) -> f64 {
-        let (slack, running) = (self.budget.slack, now.since(Moment::ZERO));
+        let (slack, uptime) = (self.budget.slack, now.since(Moment::ZERO));
         match self.start {
-            EntryStart::WithAllOthers if running < LEARNING_TIME => slack.min(LEARNING_SHARE),
+            EntryStart::FirstStart if uptime < DISCOVERY_PERIOD => slack.min(MAX_STARTUP_SLACK),
             _ => slack / entries as f64,
         }
     }
@@ -127,23 +127,23 @@
     /// Entries that were killed together would spend the same budget twice, the part that requests earn as
     /// well as the slack, and nobody is left to tell what has been spent. For as long they use only the part
     /// of the budget that entries leave unused otherwise.
-    fn is_bound_by_earlier_lives(&self, now: Moment) -> bool {
-        let running = now.since(Moment::ZERO);
-        self.start == EntryStart::Again && running < self.budget.window
+    fn is_limited_by_earlier_runs(&self, now: Moment) -> bool {
+        let uptime = now.since(Moment::ZERO);
+        self.start == EntryStart::Restart && uptime < self.budget.window
     }
 
     /// Retries that are left in the share; `entries` are those known to live.
     pub fn left(&mut self, now: Moment, service: &str, entries: usize) -> usize {
         let budget = self.budget;
-        let entries = self.most_entries(now, entries);
+        let entries = self.max_entries(now, entries);
         let share = self.slack_share(now, entries);
-        let is_bound = self.is_bound_by_earlier_lives(now);
+        let is_limited = self.is_limited_by_earlier_runs(now);
         let count = self.count(now, service);
         let own = budget.ratio * count.requests.len() as f64;
-        let allowed = if is_bound {
-            let slack = (share * UNUSED_PERCENT / 100.0).min(LEARNING_SHARE);
-            let least = LEAST_AFTER_RESTART.min(budget.slack as usize);
-            ((own * UNUSED_PERCENT / 100.0 + slack) as usize).max(least)
+        let allowed = if is_limited {
+            let slack = (share * UNUSED_PERCENT / 100.0).min(MAX_STARTUP_SLACK);
+            let minimum = MIN_AFTER_RESTART.min(budget.slack as usize);
+            ((own * UNUSED_PERCENT / 100.0 + slack) as usize).max(minimum)
         } else {
             ((own + share) * USED_PERCENT / 100.0) as usize
         };
--- a/crates/core/src/direct/route_table.rs
+++ b/crates/core/src/direct/route_table.rs
@@ -50,8 +50,8 @@
     /// The route of a request: of its host's, the longest prefix that begins its path.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, Denial> {
         let host = host.to_ascii_lowercase();
-        let bare = host.split_once(':').map(|(name, _)| name);
-        let routes = self.hosts.get(&host).or_else(|| self.hosts.get(bare?));
+        let without_port = host.split_once(':').map(|(name, _)| name);
+        let routes = self.hosts.get(&host).or_else(|| self.hosts.get(without_port?));
         let found = routes
             .into_iter()
             .flatten()
--- a/crates/core/src/direct/server_copy.rs
+++ b/crates/core/src/direct/server_copy.rs
@@ -9,11 +9,11 @@
 use super::fact_age::ChangeMark;
 
 /// Servers that are gone and remembered for others; whoever is further behind has the whole list.
-const MOST_GONE: usize = 512;
+const MAX_REMOVED: usize = 512;
 
 /// A record with the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MarkedRecord {
+pub struct RevisionedRecord {
     /// Revision of the store at which it last changed.
     pub revision: ChangeMark,
     /// The record.
@@ -22,7 +22,7 @@
 
 /// A server that is gone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GoneServer {
+pub struct RemovedServer {
     /// Revision of the store at which it went, or of its last change.
     pub revision: ChangeMark,
     /// The server.
@@ -39,9 +39,9 @@
     /// Whatever is not in `set` is gone.
     pub whole: bool,
     /// Servers that are new or have changed.
-    pub set: Vec<MarkedRecord>,
+    pub set: Vec<RevisionedRecord>,
     /// Servers that are gone.
-    pub gone: Vec<GoneServer>,
+    pub gone: Vec<RemovedServer>,
 }
 
 /// The list of servers of one entry, as it is handed to others.
@@ -49,21 +49,21 @@
 pub struct ServerCopy {
     covered: ChangeMark,
     newest: ChangeMark,
-    records: BTreeMap<ServerId, MarkedRecord>,
+    records: BTreeMap<ServerId, RevisionedRecord>,
     /// Servers that are gone, with the place up to which changes were known then.
-    gone: BTreeMap<ServerId, (ChangeMark, GoneServer)>,
+    gone: BTreeMap<ServerId, (ChangeMark, RemovedServer)>,
     /// Servers that went before this place are not remembered.
-    gone_from: ChangeMark,
+    removals_known_after: ChangeMark,
 }
 
 impl ServerCopy {
     /// The part of what has changed that is news: what a slow call to the store brings may be older
     /// than what another entry has handed over meanwhile.
-    pub fn news_of(&self, changes: ServerChanges) -> ServerChanges {
+    pub fn newer_changes(&self, changes: ServerChanges) -> ServerChanges {
         let known = |id: &ServerId| self.records.get(id).map(|marked| marked.revision);
         let is_old = |id: &ServerId, revision| known(id).is_some_and(|known| known > revision);
         let whole = changes.whole && changes.covered >= self.covered;
-        let is_gone = |marked: &MarkedRecord| {
+        let is_gone = |marked: &RevisionedRecord| {
             let gone = self.gone.get(&marked.record.id);
             changes.covered < self.covered && gone.is_some_and(|(at, _)| marked.revision <= *at)
         };
@@ -87,10 +87,10 @@
             let missing: Vec<ServerId> =
                 self.records.keys().filter(|id| !listed.contains(id)).cloned().collect();
             let revision = changes.covered;
-            missing.into_iter().for_each(|id| self.remove(GoneServer { revision, id }));
+            missing.into_iter().for_each(|id| self.remove(RemovedServer { revision, id }));
             // What came and went before this list is not known.
-            if self.gone_from == ChangeMark::default() {
-                self.gone_from = changes.covered;
+            if self.removals_known_after == ChangeMark::default() {
+                self.removals_known_after = changes.covered;
             }
         }
         for marked in &changes.set {
@@ -100,14 +100,14 @@
         changes.gone.iter().cloned().for_each(|gone| self.remove(gone));
     }
 
-    fn remove(&mut self, gone: GoneServer) {
+    fn remove(&mut self, gone: RemovedServer) {
         self.records.remove(&gone.id);
         self.gone.insert(gone.id.clone(), (self.covered, gone));
-        while self.gone.len() > MOST_GONE {
+        while self.gone.len() > MAX_REMOVED {
             let oldest = self.gone.iter().min_by_key(|(_, (at, _))| *at);
             let Some((id, at)) = oldest.map(|(id, (at, _))| (id.clone(), *at)) else { return };
             self.gone.remove(&id);
-            self.gone_from = self.gone_from.max(at);
+            self.removals_known_after = self.removals_known_after.max(at);
         }
     }
 
@@ -117,7 +117,7 @@
         if self.covered == ChangeMark::default() {
             return None;
         }
-        let whole = after < self.gone_from;
+        let whole = after < self.removals_known_after;
         let set = self.records.values().filter(|marked| whole || marked.revision > after);
         let gone = self.gone.values().filter(|(at, _)| !whole && *at > after);
         Some(ServerChanges {
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -9,7 +9,7 @@
         event_split::EventSplitter,
         fact_age::ChangeMark,
         leaving::LeavingNotice,
-        peers::{DomainKey, PEER_SILENCE, PeerKind, PeerTable, ServerNotice},
+        peers::{DomainKey, NEAR_PEER_TIMEOUT, PeerKind, PeerTable, ServerNotice},
         retry_share::{EntryStart, RetryBudget, RetryShare},
         route_table::{Denial, RouteTable, pick_target},
         server_table::{
@@ -94,7 +94,7 @@
 #[gtest]
 fn retries_stay_within_the_share_of_one_entry() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     (0..100).for_each(|_| share.note_request(at(4_000), "llm"));
     let taken = (0..1000).filter(|_| share.take(at(4_001), "llm", 10)).count();
     // (0.2 x 100 + 100 / 10) x 85 in 100.
@@ -105,13 +105,13 @@
 #[gtest]
 fn entries_that_come_and_go_do_not_enlarge_the_shares_of_the_others() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     // Just started: nobody is known yet, and the slack is everybody's.
     let count = |share: &mut RetryShare, now, entries| {
         (0..1000).filter(|_| share.take(at(now), "llm", entries)).count()
     };
     expect_that!(count(&mut share, 1_000, 1), eq(2));
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     expect_that!(count(&mut share, 4_000, 10), eq(8));
     // Nine of ten are out of reach: the share is what it was until the window has passed.
     expect_that!(count(&mut share, 9_000, 1), eq(0));
@@ -346,14 +346,14 @@
 #[gtest]
 fn old_notices_change_nothing_and_silent_peers_are_dropped() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
-    expect_that!(peers.hear(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
-    peers.hear(at(1), notice("10.0.0.2:7", 1, 4, 9));
+    expect_that!(peers.receive(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
+    peers.receive(at(1), notice("10.0.0.2:7", 1, 4, 9));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(3)));
     // One that was started again begins anew.
-    peers.hear(at(2), notice("10.0.0.2:7", 2, 1, 1));
+    peers.receive(at(2), notice("10.0.0.2:7", 2, 1, 1));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(1)));
     expect_that!(peers.entries(PeerKind::Entry), eq(2));
-    let gone = peers.expire(at(2) + PEER_SILENCE + millis(1));
+    let gone = peers.expire(at(2) + NEAR_PEER_TIMEOUT + millis(1));
     expect_that!(gone.len(), eq(1));
     expect_that!(peers.loads().is_empty(), eq(true));
     expect_that!(peers.candidates().count(), eq(1));
@@ -362,8 +362,8 @@
 #[gtest]
 fn a_peer_never_takes_itself_for_another() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
-    peers.suggest(at(0), "10.0.0.1:7".parse().expect("an address"));
-    peers.hear(at(0), notice("10.0.0.1:7", 1, 1, 1));
+    peers.add_candidate(at(0), "10.0.0.1:7".parse().expect("an address"));
+    peers.receive(at(0), notice("10.0.0.1:7", 1, 1, 1));
     expect_that!(peers.candidates().count(), eq(0));
     expect_that!(peers.living().count(), eq(0));
 }
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -140,12 +140,12 @@
         drains: vec![DrainNotice { server, waiting, kept: waiting }],
         ..notice(from, 1, 2, 0)
     };
-    peers.hear(at(0), notice("10.0.0.2:7", 1, 1, 0));
-    peers.hear(at(0), confirmed("10.0.0.3:7", 2));
-    peers.hear(at(0), PeerNotice { kind: PeerKind::Agent, ..notice("10.0.0.4:7", 1, 1, 0) });
+    peers.receive(at(0), notice("10.0.0.2:7", 1, 1, 0));
+    peers.receive(at(0), confirmed("10.0.0.3:7", 2));
+    peers.receive(at(0), PeerNotice { kind: PeerKind::Agent, ..notice("10.0.0.4:7", 1, 1, 0) });
     let report = peers.drain_report(server);
     expect_that!(report, eq(DrainReport { unconfirmed: 1, waiting: 2, kept: 2 }));
-    peers.hear(at(10), confirmed("10.0.0.2:7", 0));
+    peers.receive(at(10), confirmed("10.0.0.2:7", 0));
     expect_that!(peers.drain_report(server).unconfirmed, eq(0));
 }
 
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -8,7 +8,8 @@
         engine_model::{EngineLoad, EngineWork},
         fact_age::ChangeMark,
         peers::{
-            DomainKey, FAR_SILENCE, LoadNotice, PEER_SILENCE, PeerKind, PeerNotice, PeerTable,
+            DomainKey, FAR_PEER_TIMEOUT, LoadNotice, NEAR_PEER_TIMEOUT, PeerKind, PeerNotice,
+            PeerTable,
         },
         server_table::{
             EngineQuery, ServerChoice, ServerOutcome, ServerQuery, ServerTable, server_key,
@@ -47,17 +48,17 @@
 #[gtest]
 fn a_notice_of_changes_leaves_the_other_servers_as_they_were() {
     let mut peers = peers();
-    peers.hear(at(0), notice(6, NEAR, 1, vec![load(1, 3), load(2, 4)]));
+    peers.receive(at(0), notice(6, NEAR, 1, vec![load(1, 3), load(2, 4)]));
     let changes = notice(6, NEAR, 2, vec![load(2, 5), load(3, 1)]);
-    peers.hear(at(1), PeerNotice { changes_only: true, ..changes });
+    peers.receive(at(1), PeerNotice { changes_only: true, ..changes });
     expect_that!(peers.load_of(1).in_flight, eq(3));
     expect_that!(peers.load_of(2).in_flight, eq(5));
     expect_that!(peers.load_of(3).in_flight, eq(1));
     let changes = notice(6, NEAR, 3, vec![load(1, 0)]);
-    peers.hear(at(2), PeerNotice { changes_only: true, ..changes });
+    peers.receive(at(2), PeerNotice { changes_only: true, ..changes });
     expect_that!(peers.load_of(1).in_flight, eq(0));
     // The full list that follows counts whatever was lost.
-    peers.hear(at(3), notice(6, NEAR, 4, vec![load(3, 2)]));
+    peers.receive(at(3), notice(6, NEAR, 4, vec![load(3, 2)]));
     expect_that!(peers.load_of(2).in_flight, eq(0));
     expect_that!(peers.load_of(3).in_flight, eq(2));
 }
@@ -69,10 +70,10 @@
         domain_loads: Some(loads),
         ..notice(20, FAR, sequence, vec![load(9, 50)])
     };
-    peers.hear(at(0), told(1, vec![load(1, 7)]));
+    peers.receive(at(0), told(1, vec![load(1, 7)]));
     expect_that!(peers.load_of(1).in_flight, eq(7));
     expect_that!(peers.load_of(9).in_flight, eq(0));
-    peers.hear(at(10), told(2, vec![load(1, 4)]));
+    peers.receive(at(10), told(2, vec![load(1, 4)]));
     expect_that!(peers.loads().get(&1).map(|load| load.in_flight), some(eq(4)));
     peers.expire(at(1_000));
     expect_that!(peers.load_of(1).in_flight, eq(0));
@@ -81,40 +82,52 @@
 #[gtest]
 fn the_first_living_entry_of_a_domain_tells_the_others() {
     let mut peers = peers();
-    expect_that!(peers.speaks_for_domain(), eq(true));
-    peers.hear(at(0), notice(2, FAR, 1, Vec::new()));
-    expect_that!(peers.speaks_for_domain(), eq(true));
-    peers.hear(at(0), notice(3, NEAR, 1, Vec::new()));
-    expect_that!(peers.speaks_for_domain(), eq(false));
-    peers.expire(at(1) + PEER_SILENCE);
-    expect_that!(peers.speaks_for_domain(), eq(true));
+    expect_that!(peers.is_domain_reporter(), eq(true));
+    peers.receive(at(0), notice(2, FAR, 1, Vec::new()));
+    expect_that!(peers.is_domain_reporter(), eq(true));
+    peers.receive(at(0), notice(3, NEAR, 1, Vec::new()));
+    expect_that!(peers.is_domain_reporter(), eq(false));
+    peers.expire(at(1) + NEAR_PEER_TIMEOUT);
+    expect_that!(peers.is_domain_reporter(), eq(true));
     // The far peer is heard less often and lives on.
     expect_that!(peers.entries(PeerKind::Entry), eq(2));
-    peers.expire(at(1) + FAR_SILENCE);
+    peers.expire(at(1) + FAR_PEER_TIMEOUT);
     expect_that!(peers.entries(PeerKind::Entry), eq(1));
 }
 
 #[gtest]
 fn a_domain_from_which_nothing_comes_is_out_of_reach() {
     let mut peers = peers();
-    peers.hear(at(0), notice(6, NEAR, 1, Vec::new()));
-    peers.hear(at(0), notice(20, FAR, 1, Vec::new()));
-    peers.hear(at(600), notice(6, NEAR, 2, Vec::new()));
-    expect_that!(peers.silent_domains(at(601)).into_iter().collect::<Vec<_>>(), eq(&vec![FAR]));
+    peers.receive(at(0), notice(6, NEAR, 1, Vec::new()));
+    peers.receive(at(0), notice(20, FAR, 1, Vec::new()));
+    peers.receive(at(600), notice(6, NEAR, 2, Vec::new()));
+    expect_that!(
+        peers.unreachable_domains(at(601)).into_iter().collect::<Vec<_>>(),
+        eq(&vec![FAR])
+    );
     // Nobody is heard: this process may have stopped for a while.
-    expect_that!(peers.silent_domains(at(2_000)).len(), eq(0));
-    peers.hear(at(2_000), notice(20, FAR, 2, Vec::new()));
-    peers.hear(at(2_000), notice(6, NEAR, 3, Vec::new()));
-    expect_that!(peers.silent_domains(at(2_001)).len(), eq(0));
+    expect_that!(peers.unreachable_domains(at(2_000)).len(), eq(0));
+    peers.receive(at(2_000), notice(20, FAR, 2, Vec::new()));
+    peers.receive(at(2_000), notice(6, NEAR, 3, Vec::new()));
+    expect_that!(peers.unreachable_domains(at(2_001)).len(), eq(0));
 }
 
 #[gtest]
 fn a_process_that_was_cut_off_knows_it_when_it_hears_somebody_again() {
     let mut peers = peers();
-    expect_that!(peers.hear(at(0), notice(6, NEAR, 1, Vec::new())).after_silence, eq(false));
-    expect_that!(peers.hear(at(500), notice(20, FAR, 1, Vec::new())).after_silence, eq(false));
-    expect_that!(peers.hear(at(9_000), notice(6, NEAR, 2, Vec::new())).after_silence, eq(true));
-    expect_that!(peers.hear(at(9_010), notice(20, FAR, 2, Vec::new())).after_silence, eq(false));
+    expect_that!(peers.receive(at(0), notice(6, NEAR, 1, Vec::new())).after_disconnect, eq(false));
+    expect_that!(
+        peers.receive(at(500), notice(20, FAR, 1, Vec::new())).after_disconnect,
+        eq(false)
+    );
+    expect_that!(
+        peers.receive(at(9_000), notice(6, NEAR, 2, Vec::new())).after_disconnect,
+        eq(true)
+    );
+    expect_that!(
+        peers.receive(at(9_010), notice(20, FAR, 2, Vec::new())).after_disconnect,
+        eq(false)
+    );
 }
 
 #[gtest]
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -10,8 +10,8 @@
 use googletest::prelude::*;
 use headlatch_core::direct::{
     fact_age::ChangeMark,
-    plan_readers::turn_time,
-    server_copy::{MarkedRecord, ServerChanges, ServerCopy},
+    plan_readers::fallback_read_delay,
+    server_copy::{RevisionedRecord, ServerChanges, ServerCopy},
 };
 use headlatch_types::traffic::{ServerId, ServerRecord};
 
@@ -31,8 +31,10 @@
 }
 
 fn listed(servers: &[ServerRecord], covered: u64) -> ServerChanges {
-    let marked =
-        |record: &ServerRecord| MarkedRecord { revision: ChangeMark(1), record: record.clone() };
+    let marked = |record: &ServerRecord| RevisionedRecord {
+        revision: ChangeMark(1),
+        record: record.clone(),
+    };
     ServerChanges {
         covered: ChangeMark(covered),
         newest: ChangeMark(1),
@@ -52,7 +54,7 @@
     table.set_notices(&HashMap::new());
     let mut copy = ServerCopy::default();
     for covered in 1..4 {
-        let changes = copy.news_of(listed(&servers, covered));
+        let changes = copy.newer_changes(listed(&servers, covered));
         copy.take(&changes);
     }
     expect_that!(table.records().count(), eq(SERVERS));
@@ -91,7 +93,8 @@
 #[gtest]
 fn those_who_read_for_themselves_after_a_start_do_not_grow_with_the_fleet() {
     let read_within = |processes: usize, seconds: u64| {
-        let turns = (0..processes).map(|before| turn_time(Duration::from_millis(1_500), before));
+        let turns =
+            (0..processes).map(|before| fallback_read_delay(Duration::from_millis(1_500), before));
         turns.filter(|turn| *turn <= Duration::from_secs(seconds)).count()
     };
     for processes in [12, 100, 200, 1_000] {
@@ -99,5 +102,8 @@
         expect_that!(read_within(processes, 5), eq(6), "{processes} processes");
     }
     // Whoever is alone waits for nobody.
-    expect_that!(turn_time(Duration::from_millis(1_500), 0), eq(Duration::from_millis(1_500)));
+    expect_that!(
+        fallback_read_delay(Duration::from_millis(1_500), 0),
+        eq(Duration::from_millis(1_500))
+    );
 }
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -88,19 +88,19 @@
         ..PeerNotice::empty(address("10.0.0.1:1"), PeerKind::Entry, domain)
     };
     let mut relay = PeerTable::new(address("10.0.0.2:1"), domain);
-    relay.hear(at(1_500), told.clone());
+    relay.receive(at(1_500), told.clone());
     // Changes of load say that it lives, and nothing of what is wanted.
     for sequence in 2..30 {
         let change =
             PeerNotice { sequence, changes_only: true, wanted: Vec::new(), ..told.clone() };
-        relay.hear(at(1_500 + sequence * 100), change);
+        relay.receive(at(1_500 + sequence * 100), change);
     }
     let peer = relay.peer(told.from).expect("it is known");
     let (facts, heard) = (peer.facts(at(6_000)), peer.heard);
     expect_that!(facts.wanted[0].age, eq(millis(5_000)));
     // By way of a second relay.
     let mut next = PeerTable::new(address("10.0.0.3:1"), domain);
-    next.hear_relayed(at(6_000), facts, at(6_000).since(heard));
+    next.apply_relayed(at(6_000), facts, at(6_000).since(heard));
     let facts = next.peer(told.from).expect("it is known").facts(at(8_000));
     expect_that!(facts.wanted[0].age, eq(millis(7_000)));
 }
--- a/crates/core/tests/plan_readers.rs
+++ b/crates/core/tests/plan_readers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use googletest::prelude::*;
-use headlatch_core::direct::plan_readers::{ReaderView, is_plan_reader};
+use headlatch_core::direct::plan_readers::{ReaderCandidate, is_plan_reader};
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, last], 7700))
@@ -13,8 +13,10 @@
 /// `gone` are not heard.
 fn readers(failing: &[u8], gone: &[u8]) -> Vec<u8> {
     let living: Vec<u8> = (1..=12).filter(|entry| !gone.contains(entry)).collect();
-    let view =
-        |entry: &u8| ReaderView { address: address(*entry), reads_store: !failing.contains(entry) };
+    let view = |entry: &u8| ReaderCandidate {
+        address: address(*entry),
+        reads_store: !failing.contains(entry),
+    };
     let reads = |own: &u8| {
         let others = living.iter().filter(|entry| *entry != own).map(view);
         is_plan_reader(address(*own), others)
--- a/crates/core/tests/plan_source.rs
+++ b/crates/core/tests/plan_source.rs
@@ -6,7 +6,7 @@
 use headlatch_core::{
     direct::{
         fact_age::ChangeMark,
-        plan_source::{HolderView, PlanSource},
+        plan_source::{PlanHolders, PlanSource},
     },
     time::Moment,
 };
@@ -26,9 +26,9 @@
     source
 }
 
-fn view(near: &[u8], far: &[u8]) -> HolderView {
+fn view(near: &[u8], far: &[u8]) -> PlanHolders {
     let addresses = |lasts: &[u8]| lasts.iter().map(|last| address(*last)).collect();
-    HolderView { reads_store: false, near: addresses(near), far: addresses(far), before: 0 }
+    PlanHolders { reads_store: false, near: addresses(near), far: addresses(far), before: 0 }
 }
 
 #[gtest]
@@ -36,7 +36,7 @@
     let mut source = behind();
     source.confirm_from_store(at(10), ChangeMark(6));
     expect_that!(source.holder(at(5000), &view(&[1], &[2]), 0), none());
-    expect_that!(source.take_read(at(5000), true), eq(false));
+    expect_that!(source.take_due_read(at(5000), true), eq(false));
 }
 
 #[gtest]
@@ -45,17 +45,17 @@
     expect_that!(source.holder(at(0), &view(&[1], &[2]), 0), some(eq(address(1))));
     expect_that!(source.holder(at(390), &view(&[], &[2]), 0), none());
     expect_that!(source.holder(at(400), &view(&[], &[2]), 0), some(eq(address(2))));
-    let second = HolderView { before: 1, ..view(&[], &[2]) };
+    let second = PlanHolders { before: 1, ..view(&[], &[2]) };
     expect_that!(source.holder(at(490), &second, 0), none());
     expect_that!(source.holder(at(500), &second, 0), some(eq(address(2))));
-    let ninth = HolderView { before: 8, ..view(&[], &[2]) };
+    let ninth = PlanHolders { before: 8, ..view(&[], &[2]) };
     expect_that!(source.holder(at(700), &ninth, 0), some(eq(address(2))));
 }
 
 #[gtest]
 fn an_entry_that_reads_the_store_waits_for_its_watch_but_not_for_long() {
     let source = behind();
-    let reader = HolderView { reads_store: true, ..view(&[1], &[2]) };
+    let reader = PlanHolders { reads_store: true, ..view(&[1], &[2]) };
     expect_that!(source.holder(at(240), &reader, 0), none());
     expect_that!(source.holder(at(250), &reader, 0), some(eq(address(1))));
 }
@@ -64,15 +64,15 @@
 fn a_reader_whose_watch_is_late_does_not_count_until_the_store_tells_it_something() {
     let mut source = behind();
     source.note_role(at(0), true);
-    expect_that!(source.is_watch_late(at(390)), eq(false));
-    expect_that!(source.is_watch_late(at(400)), eq(true));
+    expect_that!(source.is_watch_overdue(at(390)), eq(false));
+    expect_that!(source.is_watch_overdue(at(400)), eq(true));
     // A neighbour helps: the watch is as late as before, and the store is to be read.
     source.take_from_peer(at(500), ChangeMark(6));
-    expect_that!(source.is_watch_late(at(600)), eq(true));
-    expect_that!(source.take_read(at(900), true), eq(true));
+    expect_that!(source.is_watch_overdue(at(600)), eq(true));
+    expect_that!(source.take_due_read(at(900), true), eq(true));
     source.confirm_from_store(at(950), ChangeMark(6));
-    expect_that!(source.is_watch_late(at(5000)), eq(false));
-    expect_that!(source.take_read(at(5000), true), eq(false));
+    expect_that!(source.is_watch_overdue(at(5000)), eq(false));
+    expect_that!(source.take_due_read(at(5000), true), eq(false));
 }
 
 #[gtest]
@@ -80,10 +80,10 @@
     let mut source = behind();
     source.note_role(at(100), false);
     source.take_from_peer(at(200), ChangeMark(6));
-    expect_that!(source.is_watch_late(at(3000)), eq(false));
+    expect_that!(source.is_watch_overdue(at(3000)), eq(false));
     source.note_role(at(3000), true);
-    expect_that!(source.is_watch_late(at(3300)), eq(false));
-    expect_that!(source.is_watch_late(at(3400)), eq(true));
+    expect_that!(source.is_watch_overdue(at(3300)), eq(false));
+    expect_that!(source.is_watch_overdue(at(3400)), eq(true));
 }
 
 #[gtest]
@@ -101,12 +101,15 @@
 fn the_store_is_read_once_a_while_and_by_the_others_only_at_last() {
     let reads = |is_reader: bool| -> Vec<u64> {
         let mut source = behind();
-        (0..30).map(|tenth| tenth * 100).filter(|ms| source.take_read(at(*ms), is_reader)).collect()
+        (0..30)
+            .map(|tenth| tenth * 100)
+            .filter(|ms| source.take_due_read(at(*ms), is_reader))
+            .collect()
     };
     expect_that!(reads(true), eq(&vec![900, 1800, 2700]));
     expect_that!(reads(false), eq(&vec![1500, 2400]));
     // Whoever has the plan from a neighbour, and is not to read it, does not.
     let mut helped = behind();
     helped.take_from_peer(at(100), ChangeMark(6));
-    expect_that!(helped.take_read(at(5000), false), eq(false));
+    expect_that!(helped.take_due_read(at(5000), false), eq(false));
 }
--- a/crates/core/tests/retry_share.rs
+++ b/crates/core/tests/retry_share.rs
@@ -81,7 +81,7 @@
 /// `killed` milliseconds and start again half a second later.
 fn excess(fleet: FleetSize, killed: u64) -> f64 {
     let mut entries: Vec<Entry> =
-        (0..fleet.entries).map(|_| Entry::of(fleet, 0, EntryStart::WithAllOthers)).collect();
+        (0..fleet.entries).map(|_| Entry::of(fleet, 0, EntryStart::FirstStart)).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for millis in (5_000..40_000).step_by(fleet.request_pause) {
         for (number, entry) in entries.iter_mut().enumerate() {
@@ -91,7 +91,7 @@
                 continue;
             }
             if is_killed && millis >= back && entry.started == 0 {
-                *entry = Entry::of(fleet, back, EntryStart::Again);
+                *entry = Entry::of(fleet, back, EntryStart::Restart);
             }
             requests.push(millis);
             let sent = entry.request(millis);
@@ -144,7 +144,7 @@
     const BACK: u64 = KILLED + 900;
     let fleet = FleetSize { request_pause: 50, ..LARGE_FLEET };
     let mut entries: Vec<Entry> =
-        (0..fleet.entries).map(|_| Entry::of(fleet, 0, EntryStart::WithAllOthers)).collect();
+        (0..fleet.entries).map(|_| Entry::of(fleet, 0, EntryStart::FirstStart)).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for millis in (0..30_000).step_by(fleet.request_pause) {
         for (number, entry) in entries.iter_mut().enumerate() {
@@ -152,7 +152,7 @@
                 continue;
             }
             if number > 0 && millis >= BACK && entry.started == 0 {
-                *entry = Entry::of(fleet, BACK, EntryStart::Again);
+                *entry = Entry::of(fleet, BACK, EntryStart::Restart);
             }
             requests.push(millis);
             if millis < KILLED - 4_000 {
@@ -183,14 +183,14 @@
 /// A window after its start an entry has its whole share.
 #[gtest]
 fn an_entry_has_its_share_once_nothing_from_before_counts() {
-    let mut entry = Entry::new(0, EntryStart::Again);
+    let mut entry = Entry::new(0, EntryStart::Restart);
     let free = |entry: &mut Entry, millis| {
         let now = entry.now(millis);
         entry.share.left(now, "s", 1)
     };
     expect_that!(free(&mut entry, 9_900), le(3));
     expect_that!(free(&mut entry, 10_100), ge(80));
-    let mut first = Entry::new(0, EntryStart::WithAllOthers);
+    let mut first = Entry::new(0, EntryStart::FirstStart);
     expect_that!(free(&mut first, 3_100), ge(80), "nothing was sent before the first start");
 }
 
@@ -199,6 +199,6 @@
 fn an_entry_that_starts_again_has_no_retry_without_any_budget() {
     let budget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(10) };
     let now = Moment::from_micros(100_000);
-    expect_that!(RetryShare::new(budget, EntryStart::Again).left(now, "s", 7), eq(0));
-    expect_that!(RetryShare::new(BUDGET, EntryStart::Again).left(now, "s", 1000), eq(1));
+    expect_that!(RetryShare::new(budget, EntryStart::Restart).left(now, "s", 7), eq(0));
+    expect_that!(RetryShare::new(BUDGET, EntryStart::Restart).left(now, "s", 1000), eq(1));
 }
--- a/crates/core/tests/server_copy.rs
+++ b/crates/core/tests/server_copy.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use headlatch_core::direct::{
     fact_age::ChangeMark,
-    server_copy::{GoneServer, MarkedRecord, ServerChanges, ServerCopy},
+    server_copy::{RemovedServer, RevisionedRecord, ServerChanges, ServerCopy},
 };
 use headlatch_types::traffic::{ServerId, ServerRecord};
 
@@ -21,12 +21,12 @@
     }
 }
 
-fn marked(id: &str, revision: u64) -> MarkedRecord {
-    MarkedRecord { revision: ChangeMark(revision), record: record(id, false) }
+fn marked(id: &str, revision: u64) -> RevisionedRecord {
+    RevisionedRecord { revision: ChangeMark(revision), record: record(id, false) }
 }
 
-fn changes(covered: u64, whole: bool, set: Vec<MarkedRecord>, gone: &[&str]) -> ServerChanges {
-    let gone = gone.iter().map(|id| GoneServer {
+fn changes(covered: u64, whole: bool, set: Vec<RevisionedRecord>, gone: &[&str]) -> ServerChanges {
+    let gone = gone.iter().map(|id| RemovedServer {
         // The store tells the revision of the last change of what is gone.
         revision: ChangeMark(1),
         id: ServerId((*id).into()),
@@ -89,11 +89,11 @@
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, false, vec![marked("b", 18), marked("c", 20)], &["a"]));
     let late = changes(15, true, vec![marked("a", 1), marked("b", 2)], &[]);
-    let news = copy.news_of(late);
-    expect_that!(news.whole, eq(false));
-    expect_that!(ids(&news), is_empty());
+    let remaining = copy.newer_changes(late);
+    expect_that!(remaining.whole, eq(false));
+    expect_that!(ids(&remaining), is_empty());
     // A newer list says everything.
-    let newer = copy.news_of(changes(30, true, vec![marked("b", 18), marked("d", 30)], &[]));
+    let newer = copy.newer_changes(changes(30, true, vec![marked("b", 18), marked("d", 30)], &[]));
     expect_that!(newer.whole, eq(true));
     expect_that!(ids(&newer), elements_are![eq("b"), eq("d")]);
 }
--- a/crates/core/tests/support/entry.rs
+++ b/crates/core/tests/support/entry.rs
@@ -80,7 +80,7 @@
 pub fn notice(from: &str, life: u64, sequence: u64, in_flight: u32) -> PeerNotice {
     let load = EngineLoad { in_flight, waiting_tokens: 0 };
     PeerNotice {
-        life,
+        incarnation: life,
         sequence,
         plan: 1,
         loads: vec![LoadNotice { server: 7, load }],
--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -13,7 +13,7 @@
     burst::PeerKey,
     direct::{
         peers::{DomainKey, PeerTable, ServerNotice, WantedNotice},
-        plan_readers::turn_time,
+        plan_readers::fallback_read_delay,
         weight_deadline::{WantedVersion, WeightDeadlines},
     },
     membership::NodeKind,
@@ -138,7 +138,7 @@
             NodeContext::new(node_settings, NodeKind::Agent, control, timer, unused_store, spans);
         let mut peers = PeerTable::new(control, DomainKey::from(&settings.node.domain));
         for seed in &settings.direct.seeds {
-            peers.suggest(Moment::ZERO, *seed);
+            peers.add_candidate(Moment::ZERO, *seed);
         }
         peers.set_mesh_limit(settings.direct.mesh_limit);
         let notice = ServerNotice {
@@ -253,7 +253,7 @@
             false => RESTART_SETTLING_TIME,
         };
         let peers = lock(&state.peers);
-        let settled = Moment::ZERO + turn_time(first, peers.agents_before());
+        let settled = Moment::ZERO + fallback_read_delay(first, peers.agents_before());
         state.node.now() >= settled && !peers.has_near_reader()
     }
 
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -4,7 +4,7 @@
 
 use headlatch_core::direct::{
     peers::{DomainKey, NoticeOutcome, PeerKind, PeerNotice},
-    relays::{HeardRelays, PeerBundle},
+    relays::{NearRelays, PeerBundle},
 };
 use tokio::{net::UdpSocket, time::MissedTickBehavior};
 
@@ -21,7 +21,7 @@
     hub: Arc<SwarmHub>,
     socket: Arc<UdpSocket>,
     writer: NoticeWriter,
-    relays: HeardRelays,
+    relays: NearRelays,
 }
 
 /// Sends and hears an agent's notices for ever.
@@ -29,7 +29,7 @@
     let node = &state.settings.node;
     let domain = DomainKey::from(&node.domain);
     let writer = NoticeWriter::new(node.control, PeerKind::Agent, domain);
-    let relays = HeardRelays::default();
+    let relays = NearRelays::default();
     let mut notices =
         AgentNotices { state: state.clone(), hub, socket: socket.clone(), writer, relays };
     let mut ticks = tokio::time::interval(NOTICE_PAUSE);
@@ -72,7 +72,7 @@
         match Datagram::decode(bytes) {
             Some(Datagram::Notice(notice)) => {
                 let wanted = notice.wanted.clone();
-                let outcome = lock(&self.state.peers).hear(self.state.node.now(), *notice);
+                let outcome = lock(&self.state.peers).receive(self.state.node.now(), *notice);
                 self.take_facts(outcome, &wanted);
             }
             Some(Datagram::Bundle(bundle)) => self.hear_bundle(bundle),
@@ -92,14 +92,14 @@
         }
         let mut peers = lock(&self.state.peers);
         for roster in &bundle.rosters {
-            peers.hear_roster(now, roster);
+            peers.apply_roster(now, roster);
         }
         let own = bundle.drains.into_iter().filter(|sum| sum.server == self.state.settings.server);
-        own.for_each(|sum| peers.hear_drain_sum(now, bundle.domain, sum));
+        own.for_each(|sum| peers.apply_drain_sum(now, bundle.domain, sum));
         drop(peers);
         for relayed in bundle.notices {
             let PeerNotice { wanted, .. } = relayed.notice.clone();
-            let outcome = lock(&self.state.peers).hear_relayed(now, relayed.notice, relayed.age);
+            let outcome = lock(&self.state.peers).apply_relayed(now, relayed.notice, relayed.age);
             self.take_facts(outcome, &wanted);
         }
     }
@@ -110,7 +110,7 @@
         wanted: &[headlatch_core::direct::peers::WantedNotice],
     ) {
         self.state.hear_wanted(wanted);
-        if outcome.after_silence {
+        if outcome.after_disconnect {
             self.state.weights_nudge.notify_one();
         }
     }
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use headlatch_core::direct::{peers::PeerKind, plan_readers::turn_time};
+use headlatch_core::direct::{peers::PeerKind, plan_readers::fallback_read_delay};
 use headlatch_http::Connections;
 use headlatch_outside::facts::{Fact, FactStore, FactTopic, Freshness};
 use headlatch_types::{
@@ -143,7 +143,7 @@
     tokio::time::sleep(LONELY_PATIENCE).await;
     if holder_of_newer(state, PlanVersion::default()).is_some() || knows_entries(state) {
         let before = lock(&state.peers).agents_before();
-        tokio::time::sleep(turn_time(STORE_PATIENCE, before) - LONELY_PATIENCE).await;
+        tokio::time::sleep(fallback_read_delay(STORE_PATIENCE, before) - LONELY_PATIENCE).await;
     }
     let list = reader.list(freshness).await;
     let plans = set_facts(FactNews::All(list)).into_iter().filter_map(|fact| match fact {
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -30,7 +30,7 @@
     let own = state.settings.node.control;
     let peers = lock(&state.peers);
     let agents: Vec<(u64, &ServerNotice)> = peers
-        .in_reach(state.node.now())
+        .reachable(state.node.now())
         .filter_map(|peer| {
             let server = peer.notice.server.as_ref()?;
             Some((state.seat_key(peer.notice.from).0, server))
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use headlatch_core::direct::{
-    peers::{DomainKey, LoadNotice, NAMED_PEERS, NoticeOutcome, PeerKind, PeerNotice},
-    relays::{HeardRelays, PeerBundle, RELAYS},
+    peers::{DomainKey, LoadNotice, MAX_ADVERTISED_PEERS, NoticeOutcome, PeerKind, PeerNotice},
+    relays::{NearRelays, PeerBundle, RELAYS},
 };
 use headlatch_types::traffic::PlanVersion;
 use rand::Rng;
@@ -56,7 +56,7 @@
     socket: Arc<UdpSocket>,
     writer: NoticeWriter,
     bundles: BundleWriter,
-    relays: HeardRelays,
+    relays: NearRelays,
     reach: NoticeReach,
     ticks: u64,
 }
@@ -77,7 +77,7 @@
         socket,
         writer,
         bundles: BundleWriter::new(domain),
-        relays: HeardRelays::default(),
+        relays: NearRelays::default(),
         reach: NoticeReach::Mesh,
         ticks: 0,
     };
@@ -207,12 +207,12 @@
         }
         self.bundles.hear(now, own, &mut bundle);
         for roster in &bundle.rosters {
-            state.peers().hear_roster(now, roster);
+            state.peers().apply_roster(now, roster);
         }
         let mut changing = false;
         for relayed in bundle.notices {
             let notice = relayed.notice.clone();
-            let outcome = state.peers().hear_relayed(now, relayed.notice, relayed.age);
+            let outcome = state.peers().apply_relayed(now, relayed.notice, relayed.age);
             changing |= take_facts(&state, &outcome, &notice);
         }
         changing.then_some(ReplyDue::Relays)
@@ -227,8 +227,8 @@
                 NoticeMail { bytes: self.writer.write(body, Vec::new()), targets: vec![to] }
             }
             ReplyDue::Names(to, domain) => {
-                let turn = rand::rng().random_range(0..NAMED_PEERS * 4);
-                let names = state.peers().named_to(domain, turn);
+                let turn = rand::rng().random_range(0..MAX_ADVERTISED_PEERS * 4);
+                let names = state.peers().peers_to_advertise_in(domain, turn);
                 let loads = state.servers().own_loads();
                 let body = NoticeBody { loads, ..body };
                 // Whoever names nobody leaves the rest to relays as well.
@@ -254,7 +254,7 @@
     let loads = state.servers().own_loads();
     let drains = state.drains();
     let peers = state.peers();
-    let domain_loads = (speaks || peers.speaks_for_domain()).then(|| {
+    let domain_loads = (speaks || peers.is_domain_reporter()).then(|| {
         let mut sums = peers.near_loads();
         for own in &loads {
             let sum = sums.entry(own.server).or_default();
@@ -291,7 +291,7 @@
 fn hear_notice(state: &EntryState, notice: PeerNotice) -> Option<ReplyDue> {
     let facts = notice.clone();
     let changed: Vec<u32> = notice.loads.iter().map(|load| load.server).collect();
-    let outcome = state.peers().hear(state.now(), notice);
+    let outcome = state.peers().receive(state.now(), notice);
     take_facts(state, &outcome, &facts);
     state.refresh_loads_of(&changed);
     let found = outcome.joined.then_some(ReplyDue::Names(facts.from, facts.domain));
@@ -303,7 +303,7 @@
 /// about to change.
 fn take_facts(state: &EntryState, outcome: &NoticeOutcome, notice: &PeerNotice) -> bool {
     state.hear_wanted(&notice.wanted);
-    if outcome.after_silence {
+    if outcome.after_disconnect {
         state.read_store_anew();
     }
     if notice.kind == PeerKind::Entry && !notice.changes_only {
@@ -323,7 +323,7 @@
     };
     let changing = server.changing;
     // One entry of a failure domain writes down for all of them what an agent tells.
-    if state.peers().speaks_for_domain() {
+    if state.peers().is_domain_reporter() {
         let fields = json!({
             "address": server.address, "whole": server.whole, "changing": changing,
             "staged": server.staged,
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -167,7 +167,7 @@
     wire::PeerNotice {
         from: address_bytes(&notice.from),
         agent: notice.kind == PeerKind::Agent,
-        life: notice.life,
+        life: notice.incarnation,
         sequence: notice.sequence,
         plan: notice.plan,
         servers: notice.servers.0,
@@ -221,7 +221,7 @@
         from: address_of(&message.from)?,
         kind: if message.agent { PeerKind::Agent } else { PeerKind::Entry },
         domain: DomainKey(message.domain),
-        life: message.life,
+        incarnation: message.life,
         sequence: message.sequence,
         plan: message.plan,
         servers: ChangeMark(message.servers),
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -7,8 +7,8 @@
     fact_age::ChangeMark,
     leaving::LeavingNotice,
     peers::{
-        DomainKey, DrainNotice, LoadNotice, NAMED_PEERS, Peer, PeerKind, PeerNotice, PeerTable,
-        ServerNotice, WantedNotice,
+        DomainKey, DrainNotice, LoadNotice, MAX_ADVERTISED_PEERS, Peer, PeerKind, PeerNotice,
+        PeerTable, ServerNotice, WantedNotice,
     },
     rate_limits::LimitNotice,
     suspects::{LifeKey, SuspectNotice},
@@ -347,8 +347,9 @@
     /// Names of peers for a few of them, by turns.
     fn naming_mail(&mut self, peers: &PeerTable, body: NoticeBody) -> Option<NoticeMail> {
         let turn = (self.tick / NAMING_TICKS) as usize * NAMING_PEERS;
-        let targets: Vec<SocketAddr> = peers.named(turn).into_iter().take(NAMING_PEERS).collect();
-        let names = peers.named(rand::rng().random_range(0..NAMED_PEERS * 4));
+        let targets: Vec<SocketAddr> =
+            peers.peers_to_advertise(turn).into_iter().take(NAMING_PEERS).collect();
+        let names = peers.peers_to_advertise(rand::rng().random_range(0..MAX_ADVERTISED_PEERS * 4));
         let bytes = self.write(NoticeBody { domain_loads: None, ..body }, names);
         (!targets.is_empty()).then_some(NoticeMail { bytes, targets })
     }
@@ -382,7 +383,7 @@
             from: self.from,
             kind: self.kind,
             domain: self.domain,
-            life: self.life,
+            incarnation: self.life,
             sequence: self.sequence,
             plan: body.plan,
             servers: body.servers,
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -14,7 +14,7 @@
 use headlatch_core::{
     direct::{
         fact_age::{ChangeMark, FactAge},
-        plan_source::{HolderView, PlanSource},
+        plan_source::{PlanHolders, PlanSource},
         route_table::RouteTable,
     },
     time::Moment,
@@ -141,7 +141,7 @@
     /// Whether the store answers this entry's calls for the plan, as far as it knows: a watch that
     /// has not brought what others have does not count as answered.
     pub fn reads_store(&self, now: Moment) -> bool {
-        self.store_answers.load(Ordering::Relaxed) && !self.source().is_watch_late(now)
+        self.store_answers.load(Ordering::Relaxed) && !self.source().is_watch_overdue(now)
     }
 
     /// Another entry has the plan of `version`; tells whether the store is to be read because of
@@ -150,7 +150,7 @@
         let mut source = self.source();
         source.note_role(now, is_reader);
         source.note_told(now, ChangeMark(version.0));
-        let reads = source.take_read(now, is_reader);
+        let reads = source.take_due_read(now, is_reader);
         let is_behind = source.age().behind(now).is_some();
         drop(source);
         if is_behind {
@@ -165,7 +165,7 @@
     }
 
     /// Whom to ask for a newer plan now.
-    pub fn holder(&self, now: Moment, view: &HolderView) -> Option<SocketAddr> {
+    pub fn holder(&self, now: Moment, view: &PlanHolders) -> Option<SocketAddr> {
         self.source().holder(now, view, rand::random())
     }
 
--- a/crates/daemon/src/direct/relay_mail.rs
+++ b/crates/daemon/src/direct/relay_mail.rs
@@ -79,7 +79,7 @@
         }
         self.far_relays.note(now, own, bundle);
         // Whoever hears nobody sums up loads that its failure domain no longer has.
-        if self.far_relays.is_deaf(now, bundle.from) {
+        if self.far_relays.is_one_way(now, bundle.from) {
             bundle.notices.iter_mut().for_each(|relayed| relayed.notice.domain_loads = None);
         }
     }
@@ -87,13 +87,13 @@
     /// The rank with which an entry relays that has this one by its address: other failure domains may
     /// ask an entry to relay because those before it do not hear or are not heard.
     pub fn rank(&self, now: Moment, by_address: Option<usize>) -> Option<usize> {
-        by_address.or_else(|| self.far_relays.is_asked(now).then_some(RELAYS))
+        by_address.or_else(|| self.far_relays.is_used_as_relay(now).then_some(RELAYS))
     }
 
     /// The relays of other failure domains that are told something now.
     fn far_targets(&mut self, view: &RelayView<'_>) -> Vec<SocketAddr> {
         let entries = view.peers.far_entries(view.now);
-        self.far_relays.choose(view.now, &entries, view.peers.hears_near(view.now))
+        self.far_relays.choose(view.now, &entries, view.peers.has_recent_domain_contact(view.now))
     }
 
     /// What is due at a regular turn, every 100 ms.
@@ -131,7 +131,7 @@
         if new.is_empty() {
             return Vec::new();
         }
-        let DueNotices { near_agents, .. } = RelayOutbox::everything(view.now, view.peers);
+        let DueNotices { near_agents, .. } = RelayOutbox::all_notices(view.now, view.peers);
         let roster = view.peers.roster(view.now, self.domain, view.own.kind);
         mail(self.bundle(view, vec![roster], near_agents), new)
     }
@@ -139,11 +139,11 @@
     /// Everything that is known, for members that have just come: they wait for it to take part in
     /// transfers.
     fn newcomer_mails(&mut self, view: &RelayView<'_>) -> Vec<NoticeMail> {
-        let newcomers = self.outbox.take_newcomers(view.peers);
+        let newcomers = self.outbox.take_new_members(view.peers);
         if newcomers.is_empty() {
             return Vec::new();
         }
-        let DueNotices { agents, entries, .. } = RelayOutbox::everything(view.now, view.peers);
+        let DueNotices { agents, entries, .. } = RelayOutbox::all_notices(view.now, view.peers);
         let own = RelayedNotice { notice: view.own.clone(), age: Duration::ZERO };
         let domains = view.peers.far_domains().into_iter().chain([self.domain]);
         let rosters = domains.map(|domain| view.peers.roster(view.now, domain, view.own.kind));
@@ -240,7 +240,7 @@
 fn far_loads(view: &RelayView<'_>) -> Vec<RelayedNotice> {
     let told = view.peers.domain_loads();
     let relayed = told.filter_map(|told| {
-        let facts = view.peers.peer(told.teller)?.facts(view.now);
+        let facts = view.peers.peer(told.reporter)?.facts(view.now);
         let notice = PeerNotice { domain_loads: Some(told.loads.clone()), ..facts };
         Some(RelayedNotice { notice, age: view.now.since(told.heard) })
     });
--- a/crates/daemon/src/direct/seats.rs
+++ b/crates/daemon/src/direct/seats.rs
@@ -22,7 +22,7 @@
     let service = state.settings.service.as_deref().unwrap_or_default();
     let own = (own_seat(state), state.settings.node.control);
     let peers = lock(&state.peers);
-    let others = peers.in_reach(state.node.now()).filter_map(|peer| {
+    let others = peers.reachable(state.node.now()).filter_map(|peer| {
         let server = peer.notice.server.as_ref()?;
         let seat = seat(state, peer.notice.from, &server.zone);
         (server.service == service).then_some((seat, peer.notice.from))
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -15,7 +15,7 @@
         evacuation::EvacuatedDomains,
         fact_age::FactAge,
         peers::{DomainKey, DrainNotice, PeerKind, PeerTable, WantedNotice},
-        plan_source::HolderView,
+        plan_source::PlanHolders,
         retry_share::{EntryStart, RetryBudget, RetryShare},
         route_table::RouteTable,
         server_copy::ServerCopy,
@@ -147,8 +147,8 @@
     ) -> Arc<Self> {
         let budget = retry_budget(settings.direct.retry);
         let start = match settings.direct.first_start {
-            true => EntryStart::WithAllOthers,
-            false => EntryStart::Again,
+            true => EntryStart::FirstStart,
+            false => EntryStart::Restart,
         };
         let zones = settings.direct.zones.clone();
         let body_memory = ByteSize::from_bytes(settings.direct.memory.bytes() / MEMORY_PARTS);
@@ -156,7 +156,7 @@
         let mut peers =
             PeerTable::new(settings.node.control, DomainKey::from(&settings.node.domain));
         for seed in &settings.direct.seeds {
-            peers.suggest(Moment::ZERO, *seed);
+            peers.add_candidate(Moment::ZERO, *seed);
         }
         peers.set_mesh_limit(settings.direct.mesh_limit);
         Arc::new(Self {
@@ -312,7 +312,7 @@
     pub fn newer_plan_holder(&self) -> Option<SocketAddr> {
         let (now, version) = (self.now(), self.plan_version());
         let peers = self.peers();
-        let view = HolderView {
+        let view = PlanHolders {
             reads_store: peers.is_plan_reader() && self.plan.reads_store(now),
             near: peers.newer_plans(version, true),
             far: peers.newer_plans(version, false),
@@ -440,7 +440,7 @@
             let gone = peers.expire(self.now());
             let entries = peers.entries(PeerKind::Entry);
             let holders = if has_limits { self.entry_peers(&peers) } else { Vec::new() };
-            (peers.loads(), gone, peers.silent_domains(self.now()), entries, holders)
+            (peers.loads(), gone, peers.unreachable_domains(self.now()), entries, holders)
         };
         let mut servers = self.servers();
         servers.set_others(loads);
--- a/crates/daemon/src/direct/state/reading.rs
+++ b/crates/daemon/src/direct/state/reading.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use headlatch_core::direct::plan_readers::turn_time;
+use headlatch_core::direct::plan_readers::fallback_read_delay;
 
 use super::{EntryState, lock};
 use crate::direct::facts::{ReadGate, ReaderDuty};
@@ -89,7 +89,7 @@
 
     /// Time after the start from which this entry reads by itself what nobody has handed it.
     fn own_reading_time(&self) -> Duration {
-        turn_time(OWN_READING_TIME, self.peers().readers_before())
+        fallback_read_delay(OWN_READING_TIME, self.peers().readers_before())
     }
 
     /// Whether others are to read the store before this entry does, which has just started.
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -5,7 +5,7 @@
 use headlatch_core::direct::{
     fact_age::ChangeMark,
     leaving::LeavingNotice,
-    server_copy::{GoneServer, MarkedRecord, ServerChanges},
+    server_copy::{RemovedServer, RevisionedRecord, ServerChanges},
 };
 use headlatch_outside::facts::{Fact, FactChange, NamedFact};
 use headlatch_types::traffic::ServerId;
@@ -33,7 +33,7 @@
     for fact in facts {
         match fact {
             FactChange::Set(NamedFact { revision, fact: Ok(Fact::Server(record)), .. }) => {
-                told.set.push(MarkedRecord { revision: ChangeMark(revision.0), record });
+                told.set.push(RevisionedRecord { revision: ChangeMark(revision.0), record });
             }
             FactChange::Set(NamedFact { fact: Ok(_), .. }) => {}
             FactChange::Set(NamedFact { name, revision, fact: Err(error) }) => {
@@ -42,12 +42,12 @@
                 // What was there before says nothing any more of what is there now.
                 if !name.is_empty() {
                     let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                    told.gone.push(GoneServer { revision, id });
+                    told.gone.push(RemovedServer { revision, id });
                 }
             }
             FactChange::Gone { name, revision } => {
                 let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                told.gone.push(GoneServer { revision, id });
+                told.gone.push(RemovedServer { revision, id });
             }
         }
     }
@@ -79,7 +79,7 @@
 
     fn apply_servers(&self, changes: ServerChanges) {
         let mut copy = lock(&self.server_copy);
-        let changes = copy.news_of(changes);
+        let changes = copy.newer_changes(changes);
         copy.take(&changes);
         drop(copy);
         if changes.whole {
@@ -90,7 +90,7 @@
             decisions::note("servers", "listed", fields);
         }
         // One entry of a failure domain writes them down for all of them.
-        let notes = self.peers().speaks_for_domain();
+        let notes = self.peers().is_domain_reporter();
         changes.set.iter().cloned().for_each(|marked| self.set_server(marked, notes));
         changes.gone.iter().for_each(|gone| self.remove_server(gone));
         if changes.whole {
@@ -139,8 +139,8 @@
         }
     }
 
-    fn set_server(&self, marked: MarkedRecord, notes: bool) {
-        let MarkedRecord { revision, record } = marked;
+    fn set_server(&self, marked: RevisionedRecord, notes: bool) {
+        let RevisionedRecord { revision, record } = marked;
         if notes {
             let fields = json!({
                 "server": record.id, "service": record.service, "address": record.address,
@@ -151,13 +151,13 @@
         }
         if !record.models.is_empty() {
             let machine = SocketAddr::new(record.address.ip(), self.settings.node.control.port());
-            self.peers().suggest(self.now(), machine);
+            self.peers().add_candidate(self.now(), machine);
         }
         self.servers().set(self.now(), record, revision);
         self.notices_stale.store(true, Ordering::Relaxed);
     }
 
-    fn remove_server(&self, gone: &GoneServer) {
+    fn remove_server(&self, gone: &RemovedServer) {
         if self.servers().remove(self.now(), &gone.id, gone.revision) {
             decisions::note("servers", "gone", json!({ "server": gone.id }));
         }
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -9,7 +9,8 @@
         fact_age::ChangeMark,
         leaving::{LeavingNotice, MOST_LEAVING},
         peers::{
-            DomainKey, LoadNotice, NAMED_PEERS, PeerKind, PeerNotice, PeerTable, WantedNotice,
+            DomainKey, LoadNotice, MAX_ADVERTISED_PEERS, PeerKind, PeerNotice, PeerTable,
+            WantedNotice,
         },
         rate_limits::{LimitNotice, MOST_LIMITS},
         suspects::{EndedRun, LifeKey, MOST_TOLD, SuspectNotice},
@@ -36,7 +37,7 @@
     let near = (2..=10).map(|last| living(PeerKind::Entry, NEAR, last));
     let far = (1..=30).map(|last| living(PeerKind::Entry, FAR, last));
     near.chain(far).for_each(|notice| {
-        peers.hear(Moment::ZERO + Duration::from_millis(1), notice);
+        peers.receive(Moment::ZERO + Duration::from_millis(1), notice);
     });
     peers
 }
@@ -138,7 +139,7 @@
     let draining_lives = vec![LifeKey(7), LifeKey(u32::MAX)];
     let limiting = PeerNotice { limits, draining_lives, ..notice.clone() };
     expect_that!(decode(&encode(&limiting)), some(eq(&limiting)));
-    let full = PeerNotice { peers: vec![address(NEAR, 4); NAMED_PEERS], ..notice };
+    let full = PeerNotice { peers: vec![address(NEAR, 4); MAX_ADVERTISED_PEERS], ..notice };
     expect_that!(encode(&full).len(), lt(700));
     let word = LeavingNotice { server: u32::MAX, revision: ChangeMark(1 << 40), returned: false };
     let leaving = PeerNotice { leaving: vec![word; MOST_LEAVING], ..full };
@@ -182,7 +183,7 @@
 fn addresses_that_may_be_peers_are_tried_by_turns_and_in_few_bytes() {
     let mut peers = PeerTable::new(address(NEAR, 1), NEAR);
     for domain in [NEAR, FAR] {
-        (2..=200).for_each(|last| peers.suggest(Moment::ZERO, address(domain, last)));
+        (2..=200).for_each(|last| peers.add_candidate(Moment::ZERO, address(domain, last)));
     }
     let count = peers.candidates().count();
     let mut writer = NoticeWriter::new(address(NEAR, 1), PeerKind::Entry, NEAR);
@@ -245,13 +246,13 @@
     let near = (2..=10).map(|last| living(PeerKind::Entry, NEAR, last));
     let far = (1..=30).map(|last| living(PeerKind::Entry, FAR, last));
     near.chain(far).for_each(|notice| {
-        member.hear(Moment::ZERO + Duration::from_millis(1), notice);
+        member.receive(Moment::ZERO + Duration::from_millis(1), notice);
     });
     for mut table in [relay, member] {
         table.set_mesh_limit(100);
-        expect_that!(table.named_to(FAR, 0).len(), eq(39), "all, below the limit");
+        expect_that!(table.peers_to_advertise_in(FAR, 0).len(), eq(39), "all, below the limit");
         table.set_mesh_limit(20);
         let names = table.relay_rank().is_some();
-        expect_that!(table.named_to(FAR, 0).is_empty(), eq(!names));
+        expect_that!(table.peers_to_advertise_in(FAR, 0).is_empty(), eq(!names));
     }
 }
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -11,7 +11,7 @@
 use headlatch_core::{
     direct::{
         peers::{DomainKey, DrainNotice, PeerKind, PeerNotice, PeerTable, ServerNotice},
-        relays::{HeardRelays, RELAYS},
+        relays::{NearRelays, RELAYS},
         suspects::{EndedRun, LifeKey, SuspectTable},
     },
     time::Moment,
@@ -52,7 +52,7 @@
     peers: PeerTable,
     writer: NoticeWriter,
     bundles: BundleWriter,
-    relays: HeardRelays,
+    relays: NearRelays,
     server: Option<ServerNotice>,
     /// Servers that it has heard to be changing, if it is an entry.
     drains: Vec<DrainNotice>,
@@ -84,8 +84,8 @@
     let key = DomainKey(domain.into());
     let mut peers = PeerTable::new(at, key);
     peers.set_mesh_limit(MESH_LIMIT);
-    peers.suggest(now, address(1, 1));
-    peers.suggest(now, address(2, 1));
+    peers.add_candidate(now, address(1, 1));
+    peers.add_candidate(now, address(2, 1));
     let server = ServerNotice {
         address: SocketAddr::new(at.ip(), 80),
         whole: Some(WeightVersion(1)),
@@ -102,7 +102,7 @@
         peers,
         writer: NoticeWriter::with_life(at, kind, key, u64::from(domain) * 256 + u64::from(last)),
         bundles: BundleWriter::new(key),
-        relays: HeardRelays::default(),
+        relays: NearRelays::default(),
         server: (kind == PeerKind::Agent).then_some(server),
         drains: Vec::new(),
         suspects: SuspectTable::default(),
@@ -151,9 +151,9 @@
             Datagram::Notice(notice) => {
                 let (from, domain) = (notice.from, notice.domain);
                 self.hear_suspects(now, &notice);
-                let joined = self.peers.hear(now, *notice).joined;
+                let joined = self.peers.receive(now, *notice).joined;
                 self.note_changing();
-                let names = self.peers.named_to(domain, 0);
+                let names = self.peers.peers_to_advertise_in(domain, 0);
                 let is_entry = self.kind == PeerKind::Entry;
                 (joined && is_entry).then(|| {
                     let bytes = self.writer.write(NoticeBody::default(), names);
@@ -166,14 +166,14 @@
                     self.relays.note(now, bundle.from, bundle.age_of(self.address));
                 }
                 for roster in &bundle.rosters {
-                    self.peers.hear_roster(now, roster);
+                    self.peers.apply_roster(now, roster);
                 }
                 for sum in bundle.drains {
-                    self.peers.hear_drain_sum(now, bundle.domain, sum);
+                    self.peers.apply_drain_sum(now, bundle.domain, sum);
                 }
                 for relayed in bundle.notices {
                     self.hear_suspects(now, &relayed.notice);
-                    self.peers.hear_relayed(now, relayed.notice, relayed.age);
+                    self.peers.apply_relayed(now, relayed.notice, relayed.age);
                 }
                 self.note_changing();
                 None
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -148,7 +148,7 @@
         plan: version,
         ..PeerNotice::empty(from, PeerKind::Entry, DomainKey::from(&domain))
     };
-    state.peers().hear(state.now(), notice);
+    state.peers().receive(state.now(), notice);
     state.hear_peer_plan(PlanVersion(version));
 }
 
@@ -200,7 +200,7 @@
         reads_store,
         ..PeerNotice::empty(from, PeerKind::Entry, DomainKey::from(&domain))
     };
-    state.peers().hear(state.now(), notice);
+    state.peers().receive(state.now(), notice);
 }
 
 /// One entry of a failure domain watches the store closely: the first by address whose calls are
