--- a/crates/core/src/direct/draining.rs
+++ b/crates/core/src/direct/draining.rs
@@ -54,7 +54,7 @@
 /// Whether the change may begin.
 pub fn may_change(view: &DrainView) -> bool {
     let runs = view.requests.is_none_or(|requests| requests.active > 0);
-    if runs && view.entries.kept > 0 && view.waited < LONGEST_KEPT {
+    if runs && view.entries.unresumable > 0 && view.waited < LONGEST_KEPT {
         return false;
     }
     if view.waited >= LONGEST_DRAIN {
--- a/crates/core/src/direct/fact_age.rs
+++ b/crates/core/src/direct/fact_age.rs
@@ -87,7 +87,7 @@
     }
 
     /// Records that another process has applied `newest`.
-    pub fn note_told(&mut self, now: Moment, newest: ChangeMark) {
+    pub fn record_peer_position(&mut self, now: Moment, newest: ChangeMark) {
         self.peer_newest = self.peer_newest.max(newest);
         if self.peer_newest > self.covered {
             self.behind_since.get_or_insert(now);
--- a/crates/core/src/direct/peers.rs
+++ b/crates/core/src/direct/peers.rs
@@ -78,18 +78,18 @@
     /// The last notice received.
     pub notice: PeerNotice,
     /// When this process or a relay last received a message from the peer.
-    pub heard: Moment,
+    pub last_seen: Moment,
     /// Sequence number of the notice with the current facts; the in-flight counts may be newer.
     facts_sequence: u64,
     /// When these facts arrived; liveness is refreshed more often.
-    facts_heard: Moment,
+    facts_received_at: Moment,
 }
 
 impl Peer {
     /// The part of the last notice that relays forward: without the fields that the peer sends directly,
     /// and with ages advanced to `now`.
     pub fn facts(&self, now: Moment) -> PeerNotice {
-        let rested = now.since(self.facts_heard);
+        let rested = now.since(self.facts_received_at);
         let wanted = self.notice.wanted.iter().cloned();
         let wanted = wanted.map(|one| WantedNotice { age: one.age + rested, ..one });
         PeerNotice {
@@ -126,7 +126,7 @@
     /// The entry that sent the report.
     pub reporter: SocketAddr,
     /// When the report was received.
-    pub heard: Moment,
+    pub last_seen: Moment,
     /// In-flight requests per server.
     pub loads: Vec<LoadNotice>,
 }
@@ -146,7 +146,7 @@
     /// Number of peers up to which all processes exchange notices directly.
     mesh_limit: usize,
     /// Time of the last message from each failure domain.
-    domains_heard: BTreeMap<DomainKey, Moment>,
+    domains_last_seen: BTreeMap<DomainKey, Moment>,
 }
 
 impl PeerTable {
@@ -160,7 +160,7 @@
             domain_loads: BTreeMap::new(),
             drain_sums: BTreeMap::new(),
             mesh_limit: usize::MAX,
-            domains_heard: BTreeMap::new(),
+            domains_last_seen: BTreeMap::new(),
         }
     }
 
@@ -201,34 +201,42 @@
         }
         let outcome = outcome_of(before, &notice, after_disconnect);
         let kept_facts = before.filter(|_| notice.changes_only);
-        let kept_facts = kept_facts.map(|peer| (peer.facts_sequence, peer.facts_heard));
+        let kept_facts = kept_facts.map(|peer| (peer.facts_sequence, peer.facts_received_at));
         let notice = match before {
             Some(peer) if notice.changes_only => merge_load_changes(&peer.notice, notice),
             _ => notice,
         };
         self.record_domain_loads(now, &notice);
-        let (facts_sequence, facts_heard) = kept_facts.unwrap_or((notice.sequence, now));
-        self.peers.insert(notice.from, Peer { notice, heard: now, facts_sequence, facts_heard });
+        let (facts_sequence, facts_received_at) = kept_facts.unwrap_or((notice.sequence, now));
+        self.peers.insert(
+            notice.from,
+            Peer { notice, last_seen: now, facts_sequence, facts_received_at },
+        );
         outcome
     }
 
     /// Records the time of the last message from a failure domain. Returns whether no peer had been
     /// heard for longer than [`DISCONNECT_THRESHOLD`] before.
-    fn record_domain_activity(&mut self, now: Moment, heard: Moment, domain: DomainKey) -> bool {
-        let last = self.domains_heard.values().max();
+    fn record_domain_activity(
+        &mut self,
+        now: Moment,
+        last_seen: Moment,
+        domain: DomainKey,
+    ) -> bool {
+        let last = self.domains_last_seen.values().max();
         let after_disconnect = last.is_some_and(|last| now.since(*last) > DISCONNECT_THRESHOLD);
-        let at = self.domains_heard.entry(domain).or_insert(heard);
-        *at = (*at).max(heard);
+        let at = self.domains_last_seen.entry(domain).or_insert(last_seen);
+        *at = (*at).max(last_seen);
         after_disconnect
     }
 
-    fn record_domain_loads(&mut self, heard: Moment, notice: &PeerNotice) {
+    fn record_domain_loads(&mut self, last_seen: Moment, notice: &PeerNotice) {
         let Some(loads) = notice.domain_loads.as_ref() else { return };
         let known = self.domain_loads.get(&notice.domain);
-        if notice.domain == self.domain || known.is_some_and(|known| known.heard > heard) {
+        if notice.domain == self.domain || known.is_some_and(|known| known.last_seen > last_seen) {
             return;
         }
-        let loads = DomainLoads { reporter: notice.from, heard, loads: loads.clone() };
+        let loads = DomainLoads { reporter: notice.from, last_seen, loads: loads.clone() };
         self.domain_loads.insert(notice.domain, loads);
     }
 
@@ -264,11 +272,12 @@
 
     /// Removes peers that have timed out. They stay candidates for [`CANDIDATE_TTL`].
     pub fn expire(&mut self, now: Moment) -> Vec<SocketAddr> {
-        let timed_out = |peer: &Peer| now.since(peer.heard) > self.peer_timeout(peer.notice.domain);
+        let timed_out =
+            |peer: &Peer| now.since(peer.last_seen) > self.peer_timeout(peer.notice.domain);
         let gone: Vec<SocketAddr> =
             self.peers.iter().filter(|(_, peer)| timed_out(peer)).map(|(at, _)| *at).collect();
-        self.domain_loads.retain(|_, told| now.since(told.heard) <= DOMAIN_LOAD_TTL);
-        self.drain_sums.retain(|_, (heard, _)| now.since(*heard) <= DRAIN_SUM_TTL);
+        self.domain_loads.retain(|_, report| now.since(report.last_seen) <= DOMAIN_LOAD_TTL);
+        self.drain_sums.retain(|_, (last_seen, _)| now.since(*last_seen) <= DRAIN_SUM_TTL);
         for address in &gone {
             self.peers.remove(address);
             self.candidates.insert(*address, now);
@@ -291,14 +300,16 @@
         self.living().filter(move |peer| !timed_out.contains(&peer.notice.domain))
     }
 
-    /// Other failure domains from which no message has come within `silence`.
-    fn domains_not_heard_for(&self, now: Moment, silence: Duration) -> BTreeSet<DomainKey> {
-        let last = self.domains_heard.values().max();
+    /// Other failure domains from which no message has come within `timeout`.
+    fn domains_not_heard_for(&self, now: Moment, timeout: Duration) -> BTreeSet<DomainKey> {
+        let last = self.domains_last_seen.values().max();
         if last.is_none_or(|last| now.since(*last) > LOCAL_STALL_THRESHOLD) {
             return BTreeSet::new();
         }
-        let far = self.domains_heard.iter().filter(|(domain, _)| **domain != self.domain);
-        far.filter(|(_, heard)| now.since(**heard) > silence).map(|(domain, _)| *domain).collect()
+        let far = self.domains_last_seen.iter().filter(|(domain, _)| **domain != self.domain);
+        far.filter(|(_, last_seen)| now.since(**last_seen) > timeout)
+            .map(|(domain, _)| *domain)
+            .collect()
     }
 
     /// All live peers.
@@ -322,7 +333,7 @@
         sums.fold(drain_report_of(server, single), |all, sum| DrainReport {
             unconfirmed: all.unconfirmed + sum.unconfirmed,
             waiting: all.waiting + sum.waiting,
-            kept: all.kept + sum.kept,
+            unresumable: all.unresumable + sum.unresumable,
         })
     }
 
@@ -401,8 +412,8 @@
 
     /// Whether an entry of the local failure domain is known to read the store.
     pub fn has_near_reader(&self) -> bool {
-        let mut told = self.near_entries().filter(|peer| peer.notice.incarnation != 0);
-        told.any(|peer| peer.notice.reads_store)
+        let mut known = self.near_entries().filter(|peer| peer.notice.incarnation != 0);
+        known.any(|peer| peer.notice.reads_store)
     }
 
     /// In-flight load of all other entries, by server key.
@@ -424,17 +435,17 @@
     /// In-flight load of all other entries at one server.
     pub fn load_of(&self, server: u32) -> EngineLoad {
         let near = self.near_entries().flat_map(|peer| &peer.notice.loads);
-        let far = self.domain_loads.values().flat_map(|told| &told.loads);
+        let far = self.domain_loads.values().flat_map(|report| &report.loads);
         let there = near.chain(far).filter(|notice| notice.server == server);
         there.fold(EngineLoad::default(), |sum, notice| sum + notice.load)
     }
 }
 
 /// Whether a forwarded notice is newer than the facts known about its sender.
-fn is_newer(peer: &Peer, notice: &PeerNotice, heard: Moment) -> bool {
+fn is_newer(peer: &Peer, notice: &PeerNotice, last_seen: Moment) -> bool {
     match peer.notice.incarnation == notice.incarnation {
         true => notice.sequence > peer.facts_sequence,
-        false => peer.notice.incarnation == 0 || heard + RESTART_TOLERANCE >= peer.heard,
+        false => peer.notice.incarnation == 0 || last_seen + RESTART_TOLERANCE >= peer.last_seen,
     }
 }
 
@@ -456,7 +467,7 @@
         match drains.iter().find(|drain| drain.server == server) {
             Some(drain) => {
                 report.waiting += drain.waiting;
-                report.kept += drain.kept;
+                report.unresumable += drain.unresumable;
             }
             None => report.unconfirmed += 1,
         }
--- a/crates/core/src/direct/peers/notice.rs
+++ b/crates/core/src/direct/peers/notice.rs
@@ -90,7 +90,7 @@
     /// Requests of the entry that the server has not started.
     pub waiting: u32,
     /// Streams of the entry that could not be resumed elsewhere if they were interrupted now.
-    pub kept: u32,
+    pub unresumable: u32,
 }
 
 /// Sum of the drain notices of all entries for a server that is about to change.
@@ -101,7 +101,7 @@
     /// Requests that the server has not started.
     pub waiting: u32,
     /// Streams that could not be resumed elsewhere if they were interrupted now.
-    pub kept: u32,
+    pub unresumable: u32,
 }
 
 /// A notice that a process sends to its peers.
--- a/crates/core/src/direct/peers/relayed.rs
+++ b/crates/core/src/direct/peers/relayed.rs
@@ -34,25 +34,25 @@
         if notice.from == self.own {
             return NoticeOutcome::default();
         }
-        let heard = now - age;
-        let after_disconnect = self.record_domain_activity(now, heard, notice.domain);
+        let last_seen = now - age;
+        let after_disconnect = self.record_domain_activity(now, last_seen, notice.domain);
         self.candidates.remove(&notice.from);
-        self.record_domain_loads(heard, &notice);
+        self.record_domain_loads(last_seen, &notice);
         let before = self.peers.get(&notice.from);
-        if !before.is_none_or(|peer| is_newer(peer, &notice, heard)) {
+        if !before.is_none_or(|peer| is_newer(peer, &notice, last_seen)) {
             if let Some(peer) = self.peers.get_mut(&notice.from)
                 && peer.notice.incarnation == notice.incarnation
             {
-                peer.heard = peer.heard.max(heard);
+                peer.last_seen = peer.last_seen.max(last_seen);
             }
             return NoticeOutcome { after_disconnect, ..NoticeOutcome::default() };
         }
         let outcome = outcome_of(before, &notice, after_disconnect);
         let last = before.filter(|peer| peer.notice.incarnation == notice.incarnation);
         let peer = Peer {
-            heard: before.map_or(heard, |peer| peer.heard.max(heard)),
+            last_seen: before.map_or(last_seen, |peer| peer.last_seen.max(last_seen)),
             facts_sequence: notice.sequence,
-            facts_heard: now,
+            facts_received_at: now,
             notice: keep_direct_fields(last, notice),
         };
         self.peers.insert(peer.notice.from, peer);
@@ -65,15 +65,16 @@
         let living = roster.members.iter().filter(|member| member.age <= limit);
         let mut joined = false;
         for member in living.filter(|member| member.address != self.own) {
-            let heard = now - member.age;
+            let last_seen = now - member.age;
             self.candidates.remove(&member.address);
             match self.peers.get_mut(&member.address) {
-                Some(peer) => peer.heard = peer.heard.max(heard),
+                Some(peer) => peer.last_seen = peer.last_seen.max(last_seen),
                 None => {
                     joined = true;
                     let empty = PeerNotice::empty(member.address, member.kind, roster.domain);
                     let notice = PeerNotice { incarnation: 0, sequence: 0, ..empty };
-                    let peer = Peer { notice, heard, facts_sequence: 0, facts_heard: now };
+                    let peer =
+                        Peer { notice, last_seen, facts_sequence: 0, facts_received_at: now };
                     self.peers.insert(member.address, peer);
                 }
             }
@@ -106,7 +107,7 @@
         let entries = self.living().filter(|peer| peer.notice.kind == PeerKind::Entry);
         for peer in entries.filter(|peer| !self.is_near(peer)) {
             let (fresh, old) = relays.entry(peer.notice.domain).or_default();
-            let is_fresh = now.since(peer.heard) <= FAR_RELAY_MAX_AGE;
+            let is_fresh = now.since(peer.last_seen) <= FAR_RELAY_MAX_AGE;
             let known = if is_fresh { fresh } else { old };
             known.push(peer.notice.from);
         }
@@ -117,8 +118,8 @@
     /// Whether a peer of the local failure domain was heard recently. If so, missing messages from other
     /// domains are not due to a failure of this process.
     pub fn has_recent_domain_contact(&self, now: Moment) -> bool {
-        let heard = self.domains_heard.get(&self.domain);
-        heard.is_some_and(|heard| now.since(*heard) <= DOMAIN_TIMEOUT)
+        let last_seen = self.domains_last_seen.get(&self.domain);
+        last_seen.is_some_and(|last_seen| now.since(*last_seen) <= DOMAIN_TIMEOUT)
     }
 
     /// Peer addresses to send to a process in `domain` that has just been discovered, relays of that
@@ -147,7 +148,7 @@
         let members = members.map(|peer| RosterMember {
             address: peer.notice.from,
             kind: peer.notice.kind,
-            age: now.since(peer.heard),
+            age: now.since(peer.last_seen),
         });
         let own = RosterMember { address: self.own, kind: own, age: Duration::ZERO };
         let own = (domain == self.domain).then_some(own);
--- a/crates/core/src/direct/plan_source.rs
+++ b/crates/core/src/direct/plan_source.rs
@@ -88,12 +88,12 @@
     }
 
     /// Records that another entry has the plan of `version`.
-    pub fn note_told(&mut self, now: Moment, version: ChangeMark) {
-        self.age.note_told(now, version);
+    pub fn record_peer_position(&mut self, now: Moment, version: ChangeMark) {
+        self.age.record_peer_position(now, version);
     }
 
     /// Records whether this entry is currently a plan reader.
-    pub fn note_role(&mut self, now: Moment, is_reader: bool) {
+    pub fn record_role(&mut self, now: Moment, is_reader: bool) {
         match is_reader {
             true => {
                 self.reader_since.get_or_insert(now);
@@ -103,7 +103,7 @@
     }
 
     /// Records that a holder did not return the plan.
-    pub fn note_failed(&mut self, holder: SocketAddr) {
+    pub fn record_failure(&mut self, holder: SocketAddr) {
         self.failed.insert(holder);
     }
 
--- a/crates/core/src/direct/relay_outbox.rs
+++ b/crates/core/src/direct/relay_outbox.rs
@@ -143,7 +143,7 @@
 
 impl DueNotices {
     fn add(&mut self, now: Moment, peers: &PeerTable, peer: &Peer) {
-        let relayed = RelayedNotice { notice: peer.facts(now), age: now.since(peer.heard) };
+        let relayed = RelayedNotice { notice: peer.facts(now), age: now.since(peer.last_seen) };
         match (peer.notice.kind, peers.is_near(peer)) {
             (PeerKind::Agent, _) if peer.notice.server.is_none() => {}
             (PeerKind::Agent, true) => {
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -75,14 +75,14 @@
     /// Drain reports of its failure domain.
     pub drains: Vec<DrainSum>,
     /// Relays of other failure domains from which it receives bundles directly, with the time since.
-    pub hears: Vec<RosterMember>,
+    pub received_from: Vec<RosterMember>,
 }
 
 impl PeerBundle {
     /// Creates an empty bundle.
     pub fn empty(from: SocketAddr, domain: DomainKey) -> Self {
         let (rosters, notices, drains) = (Vec::new(), Vec::new(), Vec::new());
-        Self { from, domain, rosters, notices, drains, hears: Vec::new() }
+        Self { from, domain, rosters, notices, drains, received_from: Vec::new() }
     }
 
     /// Age of the last notice that the relay received from the process at `own`, if the rosters list it.
@@ -118,9 +118,9 @@
     /// When a bundle was last sent to it.
     last_contacted: Moment,
     /// When a bundle was last received directly from it.
-    heard: Option<Moment>,
+    last_received: Option<Moment>,
     /// When it last received a bundle from this relay, by its own report.
-    hears_self: Option<Moment>,
+    last_acknowledged: Option<Moment>,
 }
 
 impl FarRelayState {
@@ -135,7 +135,8 @@
     /// Whether the path works in both directions, or is too new to tell.
     fn is_bidirectional(&self, now: Moment) -> bool {
         let within = |at: Option<Moment>, age: Duration| at.is_some_and(|at| now.since(at) <= age);
-        let answers = within(self.heard, FAR_RELAY_TIMEOUT) && within(self.hears_self, FAR_ACK_TTL);
+        let answers = within(self.last_received, FAR_RELAY_TIMEOUT)
+            && within(self.last_acknowledged, FAR_ACK_TTL);
         answers || within(self.contacted_since, FIRST_REPLY_TIMEOUT)
     }
 }
@@ -155,11 +156,11 @@
 
 impl FarRelays {
     /// Applies a bundle that a relay of another failure domain has sent to `own`.
-    pub fn note(&mut self, now: Moment, own: SocketAddr, bundle: &PeerBundle) {
+    pub fn record_bundle(&mut self, now: Moment, own: SocketAddr, bundle: &PeerBundle) {
         let state = self.states.entry(bundle.from).or_default();
-        state.heard = Some(now);
-        let echo = bundle.hears.iter().find(|member| member.address == own);
-        state.hears_self = state.hears_self.max(echo.map(|member| now - member.age));
+        state.last_received = Some(now);
+        let echo = bundle.received_from.iter().find(|member| member.address == own);
+        state.last_acknowledged = state.last_acknowledged.max(echo.map(|member| now - member.age));
         self.contacted_by = match self.contacted_by {
             Some((since, last)) if now.since(last) <= RELAY_ROLE_DELAY => Some((since, now)),
             _ => Some((now, now)),
@@ -182,7 +183,7 @@
     /// Selects the receivers of bundles among the `entries` of each other failure domain, which are given
     /// in their order of precedence as relays. A relay without local peers does not mark other relays as
     /// failed (`check_links` is not set).
-    pub fn choose(
+    pub fn select_targets(
         &mut self,
         now: Moment,
         entries: &[Vec<SocketAddr>],
@@ -202,27 +203,27 @@
             }
         }
         self.states.retain(|_, state| {
-            let heard = state.heard.is_some_and(|heard| now.since(heard) <= FAR_ACK_TTL);
-            heard || now.since(state.last_contacted) <= FAR_ACK_TTL
+            let is_received = state.last_received.is_some_and(|at| now.since(at) <= FAR_ACK_TTL);
+            is_received || now.since(state.last_contacted) <= FAR_ACK_TTL
         });
         chosen
     }
 
     /// Far relays from which bundles are received, to be acknowledged.
-    pub fn heard(&self, now: Moment) -> Vec<RosterMember> {
-        let heard = self.states.iter().filter_map(|(address, state)| {
-            let age = now.since(state.heard?);
+    pub fn received_from(&self, now: Moment) -> Vec<RosterMember> {
+        let relays = self.states.iter().filter_map(|(address, state)| {
+            let age = now.since(state.last_received?);
             Some(RosterMember { address: *address, kind: PeerKind::Entry, age })
         });
-        heard.filter(|member| member.age <= FAR_ACK_TTL).collect()
+        relays.filter(|member| member.age <= FAR_ACK_TTL).collect()
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 struct NearRelayState {
-    heard: Moment,
+    last_received: Moment,
     /// When it last received a notice from this process, by its own report.
-    hears_self: Option<Moment>,
+    last_acknowledged: Option<Moment>,
 }
 
 /// Relays of the local failure domain from which a process receives bundles.
@@ -234,18 +235,19 @@
 impl NearRelays {
     /// Records a message from a relay of the local failure domain, and how long ago the relay received a
     /// notice from this process, if it reports that.
-    pub fn note(&mut self, now: Moment, relay: SocketAddr, own_age: Option<Duration>) {
-        let fresh = NearRelayState { heard: now, hears_self: None };
+    pub fn record_message(&mut self, now: Moment, relay: SocketAddr, own_age: Option<Duration>) {
+        let fresh = NearRelayState { last_received: now, last_acknowledged: None };
         let state = self.relays.entry(relay).or_insert(fresh);
-        state.heard = now;
-        state.hears_self = state.hears_self.max(own_age.map(|age| now - age));
+        state.last_received = now;
+        state.last_acknowledged = state.last_acknowledged.max(own_age.map(|age| now - age));
     }
 
     /// Relays whose path works in both directions.
     pub fn usable(&self, now: Moment) -> Vec<SocketAddr> {
         let is_usable = |state: &NearRelayState| {
-            let hears_self = state.hears_self.is_some_and(|at| now.since(at) <= ACK_TTL);
-            hears_self && now.since(state.heard) <= RELAY_TIMEOUT
+            let is_acknowledged =
+                state.last_acknowledged.is_some_and(|at| now.since(at) <= ACK_TTL);
+            is_acknowledged && now.since(state.last_received) <= RELAY_TIMEOUT
         };
         let usable = self.relays.iter().filter(|(_, state)| is_usable(state));
         usable.map(|(relay, _)| *relay).collect()
@@ -253,6 +255,6 @@
 
     /// Removes relays without recent messages.
     pub fn expire(&mut self, now: Moment) {
-        self.relays.retain(|_, state| now.since(state.heard) <= ACK_TTL);
+        self.relays.retain(|_, state| now.since(state.last_received) <= ACK_TTL);
     }
 }
--- a/crates/core/src/direct/retry_share.rs
+++ b/crates/core/src/direct/retry_share.rs
@@ -87,7 +87,7 @@
     }
 
     /// Counts the first attempt of a request.
-    pub fn note_request(&mut self, now: Moment, service: &str) {
+    pub fn record_request(&mut self, now: Moment, service: &str) {
         self.count(now, service).requests.push_back(now);
     }
 
@@ -106,12 +106,12 @@
     }
 
     /// Takes one retry out of the share if any is left; `entries` is the number of live entries.
-    pub fn take(&mut self, now: Moment, service: &str, entries: usize) -> bool {
-        let free = self.left(now, service, entries) > 0;
-        if free {
+    pub fn try_take(&mut self, now: Moment, service: &str, entries: usize) -> bool {
+        let is_available = self.remaining(now, service, entries) > 0;
+        if is_available {
             self.count(now, service).retries.push_back(now);
         }
-        free
+        is_available
     }
 
     /// Share of this entry in the slack.
@@ -134,7 +134,7 @@
     }
 
     /// Number of retries left in the share; `entries` is the number of live entries.
-    pub fn left(&mut self, now: Moment, service: &str, entries: usize) -> usize {
+    pub fn remaining(&mut self, now: Moment, service: &str, entries: usize) -> usize {
         let budget = self.budget;
         let entries = self.max_entries(now, entries);
         let share = self.slack_share(now, entries);
--- a/crates/core/src/direct/route_table.rs
+++ b/crates/core/src/direct/route_table.rs
@@ -10,7 +10,7 @@
     plan: Arc<TrafficPlan>,
     /// Route indexes by host, longest path prefix first.
     hosts: HashMap<String, Vec<usize>>,
-    tenants: HashMap<String, usize>,
+    organisations: HashMap<String, usize>,
     names: HashMap<Arc<str>, usize>,
 }
 
@@ -34,12 +34,14 @@
             routes.sort_by_key(|index| std::cmp::Reverse(plan.routes[*index].path_prefix.len()));
         }
         let keys = plan.tenants.iter().enumerate();
-        let tenants = keys
-            .flat_map(|(index, tenant)| tenant.keys.iter().map(move |key| (key.clone(), index)))
+        let organisations = keys
+            .flat_map(|(index, organisation)| {
+                organisation.keys.iter().map(move |key| (key.clone(), index))
+            })
             .collect();
         let named = plan.routes.iter().enumerate();
         let names = named.map(|(index, route)| (route.name.clone(), index)).collect();
-        Self { plan, hosts, tenants, names }
+        Self { plan, hosts, organisations, names }
     }
 
     /// The indexed plan.
@@ -67,15 +69,20 @@
 
     /// Finds the organisation of a request by its API key. Returns none if the plan has no organisations, or
     /// if the key is missing or unknown and the route allows anonymous requests.
-    pub fn tenant(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, Denial> {
+    pub fn organisation(
+        &self,
+        route: &Route,
+        key: Option<&str>,
+    ) -> Result<Option<&Tenant>, Denial> {
         if self.plan.tenants.is_empty() {
             return Ok(None);
         }
-        let tenant = key.and_then(|key| self.tenants.get(key)).map(|at| &self.plan.tenants[*at]);
-        if tenant.is_none() && !route.anonymous {
+        let organisation =
+            key.and_then(|key| self.organisations.get(key)).map(|at| &self.plan.tenants[*at]);
+        if organisation.is_none() && !route.anonymous {
             return Err(Denial::UnknownKey);
         }
-        Ok(tenant)
+        Ok(organisation)
     }
 }
 
--- a/crates/core/src/direct/server_table/changing.rs
+++ b/crates/core/src/direct/server_table/changing.rs
@@ -51,7 +51,11 @@
                     true => begun,
                     false => state.last_streams,
                 };
-                DrainNotice { server: state.record.address, waiting: state.waiting, kept }
+                DrainNotice {
+                    server: state.record.address,
+                    waiting: state.waiting,
+                    unresumable: kept,
+                }
             })
             .collect()
     }
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -237,7 +237,7 @@
     let kept = |within_region| {
         let limits = ContinuationLimits { layers: 0, least: None, retries: 10, within_region };
         let drains = table.drains(at(2), &[("llm".into(), limits)].into());
-        drains.iter().map(|drain| drain.kept).sum::<u32>()
+        drains.iter().map(|drain| drain.unresumable).sum::<u32>()
     };
     expect_that!(kept(false), eq(0));
     expect_that!(kept(true), eq(1));
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -66,11 +66,11 @@
 fn a_key_that_no_tenant_has_is_denied() {
     let table = RouteTable::new(Arc::new(plan(vec![route("one", "/a/")])));
     let one = table.route("a.example", "/a/").expect("it is there").clone();
-    expect_that!(table.tenant(&one, Some("k")).map(|one| one.is_some()), ok(eq(true)));
-    expect_that!(table.tenant(&one, Some("x")), err(eq(Denial::UnknownKey)));
-    expect_that!(table.tenant(&one, None), err(eq(Denial::UnknownKey)));
+    expect_that!(table.organisation(&one, Some("k")).map(|one| one.is_some()), ok(eq(true)));
+    expect_that!(table.organisation(&one, Some("x")), err(eq(Denial::UnknownKey)));
+    expect_that!(table.organisation(&one, None), err(eq(Denial::UnknownKey)));
     let open = Route { anonymous: true, ..one };
-    expect_that!(table.tenant(&open, None).map(|one| one.is_none()), ok(eq(true)));
+    expect_that!(table.organisation(&open, None).map(|one| one.is_none()), ok(eq(true)));
 }
 
 #[gtest]
@@ -95,11 +95,11 @@
 fn retries_stay_within_the_share_of_one_entry() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::new(budget, EntryStart::FirstStart);
-    (0..100).for_each(|_| share.note_request(at(4_000), "llm"));
-    let taken = (0..1000).filter(|_| share.take(at(4_001), "llm", 10)).count();
+    (0..100).for_each(|_| share.record_request(at(4_000), "llm"));
+    let taken = (0..1000).filter(|_| share.try_take(at(4_001), "llm", 10)).count();
     // (0.2 x 100 + 100 / 10) x 85 in 100.
     expect_that!(taken, eq(25));
-    expect_that!(share.take(at(24_000), "llm", 10), eq(true));
+    expect_that!(share.try_take(at(24_000), "llm", 10), eq(true));
 }
 
 #[gtest]
@@ -108,7 +108,7 @@
     let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     // Just started: nobody is known yet, and the slack is everybody's.
     let count = |share: &mut RetryShare, now, entries| {
-        (0..1000).filter(|_| share.take(at(now), "llm", entries)).count()
+        (0..1000).filter(|_| share.try_take(at(now), "llm", entries)).count()
     };
     expect_that!(count(&mut share, 1_000, 1), eq(2));
     let mut share = RetryShare::new(budget, EntryStart::FirstStart);
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -28,7 +28,7 @@
     expect_that!(table.drains(at(0), &BTreeMap::new()), is_empty());
     let changing = changing(&record);
     table.set_notice(record.address, Some(changing));
-    let drain = |waiting| vec![DrainNotice { server: record.address, waiting, kept: 0 }];
+    let drain = |waiting| vec![DrainNotice { server: record.address, waiting, unresumable: 0 }];
     expect_that!(table.drains(at(0), &BTreeMap::new()), eq(&drain(2)));
     table.note_read(&id, 100);
     table.note_read(&id, 0);
@@ -54,7 +54,7 @@
 
 fn kept_streams(table: &ServerTable, limits: ContinuationLimits) -> u32 {
     let limits = [("llm".into(), limits)].into();
-    table.drains(at(0), &limits).iter().map(|drain| drain.kept).sum()
+    table.drains(at(0), &limits).iter().map(|drain| drain.unresumable).sum()
 }
 
 #[gtest]
@@ -115,7 +115,7 @@
 
 #[gtest]
 fn a_change_waits_for_streams_that_nobody_could_go_on_with() {
-    let entries = DrainReport { kept: 1, ..DrainReport::default() };
+    let entries = DrainReport { unresumable: 1, ..DrainReport::default() };
     let view = |waited, active| DrainView {
         waited: millis(waited),
         is_first: false,
@@ -137,14 +137,14 @@
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
     let server = "10.0.0.9:80".parse().expect("an address");
     let confirmed = |from, waiting| PeerNotice {
-        drains: vec![DrainNotice { server, waiting, kept: waiting }],
+        drains: vec![DrainNotice { server, waiting, unresumable: waiting }],
         ..notice(from, 1, 2, 0)
     };
     peers.receive(at(0), notice("10.0.0.2:7", 1, 1, 0));
     peers.receive(at(0), confirmed("10.0.0.3:7", 2));
     peers.receive(at(0), PeerNotice { kind: PeerKind::Agent, ..notice("10.0.0.4:7", 1, 1, 0) });
     let report = peers.drain_report(server);
-    expect_that!(report, eq(DrainReport { unconfirmed: 1, waiting: 2, kept: 2 }));
+    expect_that!(report, eq(DrainReport { unconfirmed: 1, waiting: 2, unresumable: 2 }));
     peers.receive(at(10), confirmed("10.0.0.2:7", 0));
     expect_that!(peers.drain_report(server).unconfirmed, eq(0));
 }
@@ -162,9 +162,9 @@
     expect_that!(may_change(&view(100, 0, 5, confirmed)), eq(false));
     expect_that!(may_change(&view(900, 0, 5, confirmed)), eq(true));
     expect_that!(may_change(&view(900, 1, 5, confirmed)), eq(false));
-    let waiting = DrainReport { unconfirmed: 0, waiting: 1, kept: 0 };
+    let waiting = DrainReport { unconfirmed: 0, waiting: 1, unresumable: 0 };
     expect_that!(may_change(&view(900, 0, 0, waiting)), eq(false));
-    let silent = DrainReport { unconfirmed: 1, waiting: 0, kept: 0 };
+    let silent = DrainReport { unconfirmed: 1, waiting: 0, unresumable: 0 };
     expect_that!(may_change(&view(900, 0, 0, silent)), eq(false));
     // Whoever is silent for longer than an entry may be is gone.
     expect_that!(may_change(&view(1800, 0, 0, silent)), eq(true));
--- a/crates/core/tests/fact_age.rs
+++ b/crates/core/tests/fact_age.rs
@@ -20,17 +20,17 @@
 fn a_change_that_others_have_is_missing_until_the_store_has_been_read_so_far() {
     let mut age = FactAge::default();
     age.confirm_from_store(at(0), mark(10), mark(4));
-    age.note_told(at(100), mark(10));
+    age.record_peer_position(at(100), mark(10));
     expect_that!(age.behind(at(200)), none());
-    age.note_told(at(300), mark(11));
-    age.note_told(at(500), mark(12));
+    age.record_peer_position(at(300), mark(11));
+    age.record_peer_position(at(500), mark(12));
     expect_that!(age.behind(at(700)), some(eq(Duration::from_millis(400))));
     age.confirm_from_store(at(800), mark(11), mark(11));
     expect_that!(age.behind(at(800)), some(eq(Duration::from_millis(500))));
     // Changes of other topics advance the position of the store beyond the reported changes.
     age.confirm_from_store(at(900), mark(30), mark(12));
     expect_that!(age.behind(at(900)), none());
-    age.note_told(at(950), mark(29));
+    age.record_peer_position(at(950), mark(29));
     expect_that!(age.behind(at(950)), none());
     expect_that!(age.newest(), eq(mark(12)));
 }
@@ -40,7 +40,7 @@
     let mut age = FactAge::default();
     expect_that!(age.age(at(0)), none());
     age.confirm_from_store(at(0), mark(5), mark(5));
-    age.note_told(at(100), mark(6));
+    age.record_peer_position(at(100), mark(6));
     age.take_from_peer(mark(6));
     expect_that!(age.behind(at(200)), none());
     expect_that!(age.age(at(200)), some(eq(Duration::from_millis(200))));
@@ -52,39 +52,39 @@
 /// lost watch after 1.4 s and reads the full list, the reads saturate the link of a region.
 #[gtest]
 fn who_takes_in_changes_that_come_one_after_the_other_is_behind_and_not_late() {
-    let patience = Duration::from_millis(1_400);
+    let timeout = Duration::from_millis(1_400);
     let (mut reader, mut other) = (FactAge::default(), FactAge::default());
     let mut read = Vec::new();
     for tenth in 0..60u64 {
         let now = at(tenth * 100);
-        reader.note_told(now, mark(tenth + 5));
-        other.note_told(now, mark(tenth + 5));
+        reader.record_peer_position(now, mark(tenth + 5));
+        other.record_peer_position(now, mark(tenth + 5));
         if tenth % 8 == 0 {
             reader.confirm_from_store(now, mark(tenth + 1), mark(tenth + 1));
         }
         if tenth % 3 == 0 {
             other.take_list_from_peer(now, mark(tenth + 1), mark(tenth + 1));
         }
-        if reader.take_due(now, patience) {
+        if reader.take_due(now, timeout) {
             read.push(tenth);
         }
         expect_that!(other.behind(now).is_some(), eq(true));
-        expect_that!(other.stalled(now), some(lt(patience)));
+        expect_that!(other.stalled(now), some(lt(timeout)));
     }
     expect_that!(read, is_empty());
     // No further changes arrive.
-    expect_that!(other.stalled(at(7_200)), some(ge(patience)));
-    expect_that!(reader.take_due(at(7_200), patience), eq(true));
+    expect_that!(other.stalled(at(7_200)), some(ge(timeout)));
+    expect_that!(reader.take_due(at(7_200), timeout), eq(true));
 }
 
 #[gtest]
 fn answers_of_the_store_that_bring_nothing_are_no_progress() {
-    let patience = Duration::from_millis(1_400);
+    let timeout = Duration::from_millis(1_400);
     let mut age = FactAge::default();
     age.confirm_from_store(at(0), mark(5), mark(5));
-    age.note_told(at(100), mark(9));
+    age.record_peer_position(at(100), mark(9));
     // A watch that receives no changes repeatedly ends at the position where it started.
     age.confirm_from_store(at(1_000), mark(5), mark(5));
-    expect_that!(age.take_due(at(1_400), patience), eq(false));
-    expect_that!(age.take_due(at(1_500), patience), eq(true));
+    expect_that!(age.take_due(at(1_400), timeout), eq(false));
+    expect_that!(age.take_due(at(1_500), timeout), eq(true));
 }
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -66,14 +66,14 @@
 #[gtest]
 fn another_domain_counts_by_its_sum_and_only_while_that_is_fresh() {
     let mut peers = peers();
-    let told = |sequence, loads| PeerNotice {
+    let report = |sequence, loads| PeerNotice {
         domain_loads: Some(loads),
         ..notice(20, FAR, sequence, vec![load(9, 50)])
     };
-    peers.receive(at(0), told(1, vec![load(1, 7)]));
+    peers.receive(at(0), report(1, vec![load(1, 7)]));
     expect_that!(peers.load_of(1).in_flight, eq(7));
     expect_that!(peers.load_of(9).in_flight, eq(0));
-    peers.receive(at(10), told(2, vec![load(1, 4)]));
+    peers.receive(at(10), report(2, vec![load(1, 4)]));
     expect_that!(peers.loads().get(&1).map(|load| load.in_flight), some(eq(4)));
     peers.expire(at(1_000));
     expect_that!(peers.load_of(1).in_flight, eq(0));
@@ -224,8 +224,8 @@
     let mut table = table(&[engine("near", "z1")]);
     let near = ServerId("near".into());
     table.begin(&near, 100);
-    let told = table.take_changes();
-    expect_that!(told.first().map(|notice| notice.load.waiting_tokens), some(eq(100)));
+    let changes = table.take_changes();
+    expect_that!(changes.first().map(|notice| notice.load.waiting_tokens), some(eq(100)));
     table.note_read(&near, 100);
     expect_that!(table.has_changes(), eq(false));
     table.end(at(1), &near, ServerOutcome::Answered);
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -29,7 +29,7 @@
 /// Maximum difference between the deadlines of a version in two processes, in milliseconds.
 const TOLERANCE_MS: u64 = 100;
 
-fn tell(from: &WeightDeadlines, to: &mut WeightDeadlines, now: Moment) {
+fn send_notices(from: &WeightDeadlines, to: &mut WeightDeadlines, now: Moment) {
     for one in from.notices(now, CHANGE_TIME) {
         to.learn_late(now, &one.model, one.version, one.age);
     }
@@ -41,65 +41,65 @@
 
 #[gtest]
 fn who_starts_between_two_versions_counts_the_end_from_the_first_of_them() {
-    let mut there = WeightDeadlines::default();
-    there.learn(at(18_000), &model(), WeightVersion(2));
-    there.learn(at(20_000), &model(), WeightVersion(3));
+    let mut existing = WeightDeadlines::default();
+    existing.learn(at(18_000), &model(), WeightVersion(2));
+    existing.learn(at(20_000), &model(), WeightVersion(3));
     let mut newcomer = WeightDeadlines::default();
     // Its own list contains only the newest version.
     newcomer.learn(at(22_400), &model(), WeightVersion(3));
-    tell(&there, &mut newcomer, at(22_500));
+    send_notices(&existing, &mut newcomer, at(22_500));
     for now in (22_500..40_000).step_by(50) {
-        expect_that!(least(&newcomer, now), eq(least(&there, now)), "at {now}");
+        expect_that!(least(&newcomer, now), eq(least(&existing, now)), "at {now}");
     }
     // A process that learns the versions from another new one.
     let mut later = WeightDeadlines::default();
-    tell(&newcomer, &mut later, at(30_000));
+    send_notices(&newcomer, &mut later, at(30_000));
     for now in (30_000..40_000).step_by(50) {
-        expect_that!(least(&later, now), eq(least(&there, now)), "at {now}");
+        expect_that!(least(&later, now), eq(least(&existing, now)), "at {now}");
     }
 }
 
 #[gtest]
 fn a_version_whose_time_is_over_is_told_until_a_newer_ones_is() {
     let mut weights = WeightDeadlines::default();
-    let told = |weights: &WeightDeadlines, now| {
+    let sent = |weights: &WeightDeadlines, now| {
         let notices = weights.notices(at(now), CHANGE_TIME);
         notices.iter().map(|one| one.version.0).collect::<Vec<_>>()
     };
     weights.learn(at(0), &model(), WeightVersion(2));
     weights.learn(at(5_000), &model(), WeightVersion(3));
     weights.learn(at(6_000), &model(), WeightVersion(4));
-    expect_that!(told(&weights, 7_000), eq(&vec![2, 3, 4]));
-    expect_that!(told(&weights, 14_000), eq(&vec![2, 3, 4]));
-    expect_that!(told(&weights, 18_500), eq(&vec![3, 4]));
-    expect_that!(told(&weights, 60_000), eq(&vec![4]));
+    expect_that!(sent(&weights, 7_000), eq(&vec![2, 3, 4]));
+    expect_that!(sent(&weights, 14_000), eq(&vec![2, 3, 4]));
+    expect_that!(sent(&weights, 18_500), eq(&vec![3, 4]));
+    expect_that!(sent(&weights, 60_000), eq(&vec![4]));
 }
 
 #[gtest]
 fn ages_go_on_while_a_relay_keeps_what_it_was_told() {
     let address = |text: &str| text.parse().expect("an address");
     let domain = DomainKey(1);
-    let mut there = WeightDeadlines::default();
-    there.learn(at(1_000), &model(), WeightVersion(2));
-    let told = PeerNotice {
-        wanted: there.notices(at(1_500), CHANGE_TIME),
+    let mut existing = WeightDeadlines::default();
+    existing.learn(at(1_000), &model(), WeightVersion(2));
+    let sent = PeerNotice {
+        wanted: existing.notices(at(1_500), CHANGE_TIME),
         ..PeerNotice::empty(address("10.0.0.1:1"), PeerKind::Entry, domain)
     };
     let mut relay = PeerTable::new(address("10.0.0.2:1"), domain);
-    relay.receive(at(1_500), told.clone());
+    relay.receive(at(1_500), sent.clone());
     // Load deltas refresh the liveness of the sender and contain no target versions.
     for sequence in 2..30 {
         let change =
-            PeerNotice { sequence, changes_only: true, wanted: Vec::new(), ..told.clone() };
+            PeerNotice { sequence, changes_only: true, wanted: Vec::new(), ..sent.clone() };
         relay.receive(at(1_500 + sequence * 100), change);
     }
-    let peer = relay.peer(told.from).expect("it is known");
-    let (facts, heard) = (peer.facts(at(6_000)), peer.heard);
+    let peer = relay.peer(sent.from).expect("it is known");
+    let (facts, last_seen) = (peer.facts(at(6_000)), peer.last_seen);
     expect_that!(facts.wanted[0].age, eq(millis(5_000)));
     // Forwarded by a second relay.
     let mut next = PeerTable::new(address("10.0.0.3:1"), domain);
-    next.apply_relayed(at(6_000), facts, at(6_000).since(heard));
-    let facts = next.peer(told.from).expect("it is known").facts(at(8_000));
+    next.apply_relayed(at(6_000), facts, at(6_000).since(last_seen));
+    let facts = next.peer(sent.from).expect("it is known").facts(at(8_000));
     expect_that!(facts.wanted[0].age, eq(millis(7_000)));
 }
 
@@ -130,25 +130,27 @@
 
 /// Runs a simulation in which each new process receives a notice from a random other process in each step,
 /// and half of the notices are lost.
-fn play(case: &JoinCase) -> std::result::Result<(), String> {
+fn simulate(case: &JoinCase) -> std::result::Result<(), String> {
     let mut draw = case.seed | 1;
     let mut drawn = move || {
         draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         draw >> 33
     };
-    let mut veteran = WeightDeadlines::default();
+    let mut established = WeightDeadlines::default();
     let mut newcomers: Vec<Option<(WeightDeadlines, u64)>> =
         vec![None, None, None, None].into_iter().collect();
     for now in (0..40_000).step_by(100) {
         for (index, at_ms) in case.named.iter().enumerate() {
             if now / 100 == at_ms.div_ceil(100) {
-                veteran.learn(at(now), &model(), WeightVersion(index as u64 + 2));
+                established.learn(at(now), &model(), WeightVersion(index as u64 + 2));
             }
         }
         for (index, start) in case.starts.iter().enumerate() {
             if now / 100 == start / 100 {
                 let mut weights = WeightDeadlines::default();
-                if let Some(newest) = veteran.newest(&model()).filter(|_| case.reads_store[index]) {
+                if let Some(newest) =
+                    established.newest(&model()).filter(|_| case.reads_store[index])
+                {
                     weights.learn(at(now), &model(), newest);
                 }
                 newcomers[index] = Some((weights, now));
@@ -157,19 +159,19 @@
         for index in 0..newcomers.len() {
             // The sender is the long-running process or another new one.
             let (from, lost) = (drawn() as usize % (newcomers.len() + 1), drawn() % 2 == 0);
-            let told = match newcomers.get(from) {
+            let sent = match newcomers.get(from) {
                 Some(Some((weights, _))) => weights.notices(at(now), CHANGE_TIME),
                 Some(None) => Vec::new(),
-                None => veteran.notices(at(now), CHANGE_TIME),
+                None => established.notices(at(now), CHANGE_TIME),
             };
             if let Some((weights, _)) = newcomers[index].as_mut().filter(|_| !lost) {
-                for one in told {
+                for one in sent {
                     weights.learn_late(at(now), &one.model, one.version, one.age);
                 }
             }
         }
         for (weights, since) in newcomers.iter().flatten() {
-            let behind = least(&veteran, now.saturating_sub(TOLERANCE_MS));
+            let behind = least(&established, now.saturating_sub(TOLERANCE_MS));
             if now > since + 8_000 && least(weights, now) < behind {
                 return Err(format!("at {now}: {} for {behind}", least(weights, now)));
             }
@@ -188,6 +190,6 @@
 
     #[test]
     fn who_joins_at_any_moment_decides_before_long_as_who_was_there(case in cases()) {
-        proptest::prop_assert_eq!(play(&case), Ok(()));
+        proptest::prop_assert_eq!(simulate(&case), Ok(()));
     }
 }
--- a/crates/core/tests/plan_source.rs
+++ b/crates/core/tests/plan_source.rs
@@ -22,7 +22,7 @@
 fn behind() -> PlanSource {
     let mut source = PlanSource::default();
     source.confirm_from_store(at(0), ChangeMark(5));
-    source.note_told(at(0), ChangeMark(6));
+    source.record_peer_position(at(0), ChangeMark(6));
     source
 }
 
@@ -63,7 +63,7 @@
 #[gtest]
 fn a_reader_whose_watch_is_late_does_not_count_until_the_store_tells_it_something() {
     let mut source = behind();
-    source.note_role(at(0), true);
+    source.record_role(at(0), true);
     expect_that!(source.is_watch_overdue(at(390)), eq(false));
     expect_that!(source.is_watch_overdue(at(400)), eq(true));
     // A plan from a local peer leaves the watch overdue, and the store must still be read.
@@ -78,10 +78,10 @@
 #[gtest]
 fn an_entry_that_has_just_become_a_reader_counts_until_it_has_had_time_to_read() {
     let mut source = behind();
-    source.note_role(at(100), false);
+    source.record_role(at(100), false);
     source.take_from_peer(at(200), ChangeMark(6));
     expect_that!(source.is_watch_overdue(at(3000)), eq(false));
-    source.note_role(at(3000), true);
+    source.record_role(at(3000), true);
     expect_that!(source.is_watch_overdue(at(3300)), eq(false));
     expect_that!(source.is_watch_overdue(at(3400)), eq(true));
 }
@@ -90,9 +90,9 @@
 fn a_holder_that_failed_is_asked_again_last() {
     let mut source = behind();
     let view = view(&[1], &[2]);
-    source.note_failed(address(1));
+    source.record_failure(address(1));
     expect_that!(source.holder(at(500), &view, 0), some(eq(address(2))));
-    source.note_failed(address(2));
+    source.record_failure(address(2));
     expect_that!(source.holder(at(900), &view, 0), some(eq(address(1))));
     expect_that!(source.holder(at(900), &view, 1), some(eq(address(2))));
 }
@@ -109,7 +109,7 @@
     expect_that!(reads(true), eq(&vec![900, 1800, 2700]));
     expect_that!(reads(false), eq(&vec![1500, 2400]));
     // An entry that is not a reader and has received the plan from a peer does not read the store.
-    let mut helped = behind();
-    helped.take_from_peer(at(100), ChangeMark(6));
-    expect_that!(helped.take_due_read(at(5000), false), eq(false));
+    let mut updated = behind();
+    updated.take_from_peer(at(100), ChangeMark(6));
+    expect_that!(updated.take_due_read(at(5000), false), eq(false));
 }
--- a/crates/core/tests/retry_share.rs
+++ b/crates/core/tests/retry_share.rs
@@ -65,8 +65,8 @@
     /// Sends a request with as many retries as allowed, up to three; returns the number of retries.
     fn request(&mut self, millis: u64) -> usize {
         let now = self.now(millis);
-        self.share.note_request(now, "s");
-        (0..3).take_while(|_| self.share.take(now, "s", self.fleet.entries)).count()
+        self.share.record_request(now, "s");
+        (0..3).take_while(|_| self.share.try_take(now, "s", self.fleet.entries)).count()
     }
 }
 
@@ -145,7 +145,7 @@
             requests.push(millis);
             if millis < KILLED - 4_000 {
                 let now = entry.now(millis);
-                entry.share.note_request(now, "s");
+                entry.share.record_request(now, "s");
             } else {
                 let sent = entry.request(millis);
                 retries.extend(std::iter::repeat_n(millis, sent));
@@ -174,7 +174,7 @@
     let mut entry = Entry::new(0, EntryStart::Restart);
     let free = |entry: &mut Entry, millis| {
         let now = entry.now(millis);
-        entry.share.left(now, "s", 1)
+        entry.share.remaining(now, "s", 1)
     };
     expect_that!(free(&mut entry, 9_900), le(3));
     expect_that!(free(&mut entry, 10_100), ge(80));
@@ -187,6 +187,6 @@
 fn an_entry_that_starts_again_has_no_retry_without_any_budget() {
     let budget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(10) };
     let now = Moment::from_micros(100_000);
-    expect_that!(RetryShare::new(budget, EntryStart::Restart).left(now, "s", 7), eq(0));
-    expect_that!(RetryShare::new(BUDGET, EntryStart::Restart).left(now, "s", 1000), eq(1));
+    expect_that!(RetryShare::new(budget, EntryStart::Restart).remaining(now, "s", 7), eq(0));
+    expect_that!(RetryShare::new(BUDGET, EntryStart::Restart).remaining(now, "s", 1000), eq(1));
 }
--- a/crates/core/tests/server_copy.rs
+++ b/crates/core/tests/server_copy.rs
@@ -50,23 +50,23 @@
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(12, false, vec![marked("c", 12)], &[]));
     copy.take(&changes(14, false, Vec::new(), &["a"]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.whole, eq(false));
-    expect_that!(ids(&told), elements_are![eq("c")]);
-    expect_that!(told.gone.len(), eq(1));
-    expect_that!(told.covered, eq(ChangeMark(14)));
-    let told = copy.changes_after(ChangeMark(14)).expect("a list is here");
-    expect_that!(ids(&told), is_empty());
-    expect_that!(told.gone.len(), eq(0));
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.whole, eq(false));
+    expect_that!(ids(&update), elements_are![eq("c")]);
+    expect_that!(update.gone.len(), eq(1));
+    expect_that!(update.covered, eq(ChangeMark(14)));
+    let update = copy.changes_after(ChangeMark(14)).expect("a list is here");
+    expect_that!(ids(&update), is_empty());
+    expect_that!(update.gone.len(), eq(0));
 }
 
 #[gtest]
 fn who_knows_nothing_gets_the_whole_list() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
-    let told = copy.changes_after(ChangeMark(0)).expect("a list is here");
-    expect_that!(told.whole, eq(true));
-    expect_that!(ids(&told), elements_are![eq("a"), eq("b")]);
+    let update = copy.changes_after(ChangeMark(0)).expect("a list is here");
+    expect_that!(update.whole, eq(true));
+    expect_that!(ids(&update), elements_are![eq("a"), eq("b")]);
 }
 
 #[gtest]
@@ -74,12 +74,12 @@
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, true, vec![marked("b", 2)], &[]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.gone.first().map(|gone| gone.id.0.to_string()), some(eq("a")));
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.gone.first().map(|gone| gone.id.0.to_string()), some(eq("a")));
     copy.take(&changes(25, false, vec![marked("a", 25)], &[]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.gone.len(), eq(0));
-    expect_that!(ids(&told), elements_are![eq("a")]);
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.gone.len(), eq(0));
+    expect_that!(ids(&update), elements_are![eq("a")]);
 }
 
 /// A delayed list from the store must not revert changes received from another entry.
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -88,7 +88,7 @@
         let now = self.state.node.now();
         let node = &self.state.settings.node;
         if bundle.domain == DomainKey::from(&node.domain) {
-            self.relays.note(now, bundle.from, bundle.age_of(node.control));
+            self.relays.record_message(now, bundle.from, bundle.age_of(node.control));
         }
         let mut peers = lock(&self.state.peers);
         for roster in &bundle.rosters {
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -100,7 +100,7 @@
     let fields = json!({
         "waited_ms": view.waited.as_millis() as u64, "queued": requests.queued,
         "active": requests.active, "unconfirmed": view.entries.unconfirmed,
-        "waiting": view.entries.waiting, "kept": view.entries.kept,
+        "waiting": view.entries.waiting, "kept": view.entries.unresumable,
     });
     decisions::note("engine", "emptied", fields);
 }
--- a/crates/daemon/src/direct/datagram.rs
+++ b/crates/daemon/src/direct/datagram.rs
@@ -101,7 +101,7 @@
         server: address_bytes(&sum.server),
         unconfirmed: sum.report.unconfirmed as u32,
         waiting: sum.report.waiting,
-        kept: sum.report.kept,
+        kept: sum.report.unresumable,
     };
     wire::PeerBundle {
         from: address_bytes(&bundle.from),
@@ -109,7 +109,8 @@
         rosters: bundle.rosters.iter().map(encode_roster).collect(),
         notices: bundle.notices.iter().map(notice).collect(),
         drains: bundle.drains.iter().map(drain).collect(),
-        hears: (!bundle.hears.is_empty()).then(|| encode_roster(&heard_roster(&bundle.hears))),
+        hears: (!bundle.received_from.is_empty())
+            .then(|| encode_roster(&heard_roster(&bundle.received_from))),
     }
 }
 
@@ -130,7 +131,7 @@
         let report = DrainReport {
             unconfirmed: drain.unconfirmed as usize,
             waiting: drain.waiting,
-            kept: drain.kept,
+            unresumable: drain.kept,
         };
         Some(DrainSum { server: address_of(&drain.server)?, report })
     };
@@ -140,7 +141,7 @@
         rosters: message.rosters.iter().map(decode_roster).collect::<Option<_>>()?,
         notices: message.notices.into_iter().map(notice).collect::<Option<_>>()?,
         drains: message.drains.iter().map(drain).collect::<Option<_>>()?,
-        hears: match &message.hears {
+        received_from: match &message.hears {
             Some(heard) => decode_roster(heard)?.members,
             None => Vec::new(),
         },
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -203,7 +203,7 @@
         let now = state.now();
         let own = state.settings.node.control;
         if bundle.domain == DomainKey::from(&state.settings.node.domain) {
-            self.relays.note(now, bundle.from, bundle.age_of(own));
+            self.relays.record_message(now, bundle.from, bundle.age_of(own));
         }
         self.bundles.hear(now, own, &mut bundle);
         for roster in &bundle.rosters {
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -92,7 +92,7 @@
     state: &Arc<EntryState>,
     request: RequestPlan,
 ) -> Result<Response<AnswerBody>, GivenUp> {
-    state.retries().note_request(state.now(), &request.service);
+    state.retries().record_request(state.now(), &request.service);
     let mut exchange = Exchange {
         state: state.clone(),
         request,
@@ -268,7 +268,7 @@
         if self.arrivals > 0 {
             let entries = self.state.entries();
             let now = self.state.now();
-            if !self.state.retries().take(now, &self.request.service, entries) {
+            if !self.state.retries().try_take(now, &self.request.service, entries) {
                 return Err("retry_budget");
             }
         }
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -231,7 +231,7 @@
 
 fn find_in(routes: &RouteTable, parts: &Parts, key: Option<&str>) -> Result<FoundRoute, GivenUp> {
     let route = find_route(routes, &parts.headers, &parts.uri)?;
-    let tenant = routes.tenant(route, key);
+    let tenant = routes.organisation(route, key);
     let tenant = tenant.map_err(|_| GivenUp::denied(StatusCode::UNAUTHORIZED, "unknown_key"))?;
     Ok(FoundRoute { route: route.clone(), tenant: tenant.map(|tenant| tenant.name.to_string()) })
 }
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -161,7 +161,7 @@
     let drain = |drain: &DrainNotice| wire::NoticeDrain {
         server: address_bytes(&drain.server),
         waiting: drain.waiting,
-        kept: drain.kept,
+        kept: drain.unresumable,
     };
     let domain_loads = notice.domain_loads.as_deref().unwrap_or_default();
     wire::PeerNotice {
@@ -214,7 +214,7 @@
     };
     let drain = |drain: &wire::NoticeDrain| {
         let (waiting, kept) = (drain.waiting, drain.kept);
-        Some(DrainNotice { server: address_of(&drain.server)?, waiting, kept })
+        Some(DrainNotice { server: address_of(&drain.server)?, waiting, unresumable: kept })
     };
     let domain_loads = || message.domain_loads.iter().map(decode_load).collect();
     Some(PeerNotice {
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -148,8 +148,8 @@
     /// that.
     pub fn note_told(&self, now: Moment, version: PlanVersion, is_reader: bool) -> bool {
         let mut source = self.source();
-        source.note_role(now, is_reader);
-        source.note_told(now, ChangeMark(version.0));
+        source.record_role(now, is_reader);
+        source.record_peer_position(now, ChangeMark(version.0));
         let reads = source.take_due_read(now, is_reader);
         let is_behind = source.age().behind(now).is_some();
         drop(source);
@@ -171,7 +171,7 @@
 
     /// A holder was asked and did not hand the plan over.
     pub fn note_failed(&self, holder: SocketAddr) {
-        self.source().note_failed(holder);
+        self.source().record_failure(holder);
     }
 
     /// Waits until another entry has a newer plan.
--- a/crates/daemon/src/direct/relay_mail.rs
+++ b/crates/daemon/src/direct/relay_mail.rs
@@ -77,7 +77,7 @@
         if bundle.domain == self.domain {
             return;
         }
-        self.far_relays.note(now, own, bundle);
+        self.far_relays.record_bundle(now, own, bundle);
         // Whoever hears nobody sums up loads that its failure domain no longer has.
         if self.far_relays.is_one_way(now, bundle.from) {
             bundle.notices.iter_mut().for_each(|relayed| relayed.notice.domain_loads = None);
@@ -93,7 +93,11 @@
     /// The relays of other failure domains that are told something now.
     fn far_targets(&mut self, view: &RelayView<'_>) -> Vec<SocketAddr> {
         let entries = view.peers.far_entries(view.now);
-        self.far_relays.choose(view.now, &entries, view.peers.has_recent_domain_contact(view.now))
+        self.far_relays.select_targets(
+            view.now,
+            &entries,
+            view.peers.has_recent_domain_contact(view.now),
+        )
     }
 
     /// What is due at a regular turn, every 100 ms.
@@ -195,10 +199,10 @@
     }
 
     fn outward_mail(&mut self, view: &RelayView<'_>, due: &DueNotices) -> Vec<NoticeMail> {
-        let (mut rosters, mut hears) = (Vec::new(), Vec::new());
+        let (mut rosters, mut received_from) = (Vec::new(), Vec::new());
         if self.turn.is_multiple_of(OUTWARD_ROSTER_TURNS) {
             rosters.push(view.peers.roster(view.now, self.domain, view.own.kind));
-            hears = self.far_relays.heard(view.now);
+            received_from = self.far_relays.received_from(view.now);
         }
         if self.turn.is_multiple_of(FAR_ROSTER_TURNS) {
             // A relay may not have heard of some failure domain yet.
@@ -207,7 +211,7 @@
         }
         let own = RelayedNotice { notice: view.own.clone(), age: Duration::ZERO };
         let notices = [due.near_agents.as_slice(), &[own]].concat();
-        let bundle = PeerBundle { hears, ..self.bundle(view, rosters, notices) };
+        let bundle = PeerBundle { received_from, ..self.bundle(view, rosters, notices) };
         mail(bundle, self.far_targets(view))
     }
 
@@ -242,7 +246,7 @@
     let relayed = told.filter_map(|told| {
         let facts = view.peers.peer(told.reporter)?.facts(view.now);
         let notice = PeerNotice { domain_loads: Some(told.loads.clone()), ..facts };
-        Some(RelayedNotice { notice, age: view.now.since(told.heard) })
+        Some(RelayedNotice { notice, age: view.now.since(told.last_seen) })
     });
     relayed.collect()
 }
@@ -268,10 +272,10 @@
     if bytes.len() <= MOST_BUNDLE || bundle.rosters.len() + bundle.notices.len() <= 1 {
         return vec![bytes];
     }
-    let PeerBundle { from, domain, mut rosters, mut notices, drains, hears } = bundle;
+    let PeerBundle { from, domain, mut rosters, mut notices, drains, received_from } = bundle;
     let later_rosters = rosters.split_off(rosters.len().div_ceil(2));
     let later_notices = notices.split_off(notices.len() / 2);
-    let first = PeerBundle { from, domain, rosters, notices, drains, hears };
+    let first = PeerBundle { from, domain, rosters, notices, drains, received_from };
     let rest = PeerBundle {
         rosters: later_rosters,
         notices: later_notices,
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -426,7 +426,7 @@
         let models = engine.models.iter();
         let least = models.filter_map(|model| self.weights().least(now, model, time)).max();
         let entries = self.entries();
-        let retries = self.retries().left(now, service, entries);
+        let retries = self.retries().remaining(now, service, entries);
         let within_region = routes.plan().restricts_regions(service);
         Some(ContinuationLimits { layers: engine.layers, least, retries, within_region })
     }
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -112,7 +112,7 @@
         let now = self.now();
         let rank = self.peers().reader_rank();
         let mut age = lock(&self.servers_age);
-        age.note_told(now, newest);
+        age.record_peer_position(now, newest);
         if age.behind(now).is_some() {
             self.servers_offered.notify_one();
         }
--- a/crates/daemon/tests/begun_answers.rs
+++ b/crates/daemon/tests/begun_answers.rs
@@ -134,7 +134,7 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     let drains = drains_told(&setting.entry.state, setting.first.address).await;
     expect_that!(stream.await.expect("it ends"), eq(&whole_stream()));
-    drains.iter().map(|drain| drain.kept).sum()
+    drains.iter().map(|drain| drain.unresumable).sum()
 }
 
 /// Nothing more than what an entry says keeps a server's agent from an order that cuts what runs: on
--- a/crates/daemon/tests/datagram.rs
+++ b/crates/daemon/tests/datagram.rs
@@ -24,12 +24,12 @@
     };
     let members = vec![member(2, PeerKind::Entry, 0), member(3, PeerKind::Agent, 490)];
     let notice = PeerNotice::empty(address(4), PeerKind::Entry, domain);
-    let report = DrainReport { unconfirmed: 2, waiting: 5, kept: 3 };
+    let report = DrainReport { unconfirmed: 2, waiting: 5, unresumable: 3 };
     PeerBundle {
         rosters: vec![DomainRoster { domain, members }],
         notices: vec![RelayedNotice { notice, age: Duration::from_millis(120) }],
         drains: vec![DrainSum { server: address(9), report }],
-        hears: vec![member(12, PeerKind::Entry, 30)],
+        received_from: vec![member(12, PeerKind::Entry, 30)],
         ..PeerBundle::empty(address(1), domain)
     }
 }
--- a/crates/daemon/tests/direct_agent.rs
+++ b/crates/daemon/tests/direct_agent.rs
@@ -417,10 +417,10 @@
         if changing > HEARD_NOTICES {
             return;
         }
-        let DrainReport { waiting, kept, .. } = held;
+        let DrainReport { waiting, unresumable, .. } = held;
         let notice = PeerNotice {
             sequence,
-            drains: vec![DrainNotice { server: server.address, waiting, kept }],
+            drains: vec![DrainNotice { server: server.address, waiting, unresumable }],
             ..PeerNotice::empty(own, PeerKind::Entry, DomainKey(1))
         };
         socket.send_to(&encode(&notice), agent).await.expect("it is bound");
@@ -436,13 +436,13 @@
 #[gtest]
 #[tokio::test]
 async fn no_order_is_given_while_an_entry_has_streams_that_nobody_could_go_on_with() {
-    order_waits_for(DrainReport { kept: 1, ..DrainReport::default() }).await;
+    order_waits_for(DrainReport { unresumable: 1, ..DrainReport::default() }).await;
 }
 
 async fn order_waits_for(held: DrainReport) {
     let engine = TestEngine::default();
     lock(&engine.state).holds = Some(WeightVersion(1));
-    lock(&engine.state).active = held.kept;
+    lock(&engine.state).active = held.unresumable;
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("a port is free");
     let seeds = [socket.local_addr().expect("it is bound")];
     let setting = Setting::with_seeds(engine, TestOrigin::default(), &seeds).await;
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -433,7 +433,7 @@
 #[tokio::test]
 async fn an_entry_answers_an_agent_whose_server_is_about_to_change() {
     let setting = Setting::new(whole, whole).await;
-    let drain = DrainNotice { server: setting.first.address, waiting: 0, kept: 0 };
+    let drain = DrainNotice { server: setting.first.address, waiting: 0, unresumable: 0 };
     let drains = drains_told(&setting.entry.state, setting.first.address).await;
     expect_that!(drains, eq(&vec![drain]));
     // Nothing is sent there any more.
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -163,7 +163,7 @@
             Datagram::Bundle(mut bundle) => {
                 self.bundles.hear(now, self.address, &mut bundle);
                 if bundle.domain == self.domain {
-                    self.relays.note(now, bundle.from, bundle.age_of(self.address));
+                    self.relays.record_message(now, bundle.from, bundle.age_of(self.address));
                 }
                 for roster in &bundle.rosters {
                     self.peers.apply_roster(now, roster);
@@ -193,7 +193,7 @@
             let servers = self.peers.living().filter_map(|peer| peer.notice.server.as_ref());
             let changing = servers.filter(|server| server.changing);
             self.drains = changing
-                .map(|server| DrainNotice { server: server.address, waiting: 0, kept: 0 })
+                .map(|server| DrainNotice { server: server.address, waiting: 0, unresumable: 0 })
                 .collect();
         }
     }
