--- a/crates/core/tests/fact_age.rs
+++ b/crates/core/tests/fact_age.rs
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn a_change_that_others_have_is_missing_until_the_store_has_been_read_so_far() {
+fn change_known_to_peers_is_missing_until_the_store_covers_it() {
     let mut age = FactAge::default();
     age.confirm_from_store(at(0), mark(10), mark(4));
     age.record_peer_position(at(100), mark(10));
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn what_a_peer_hands_over_is_as_good_but_confirms_nothing() {
+fn change_from_a_peer_does_not_confirm_the_store() {
     let mut age = FactAge::default();
     expect_that!(age.age(at(0)), none());
     age.confirm_from_store(at(0), mark(5), mark(5));
@@ -51,7 +51,7 @@
 /// six seconds, an entry that applies the changes every 0.3 s is behind all the time. If it takes that for a
 /// lost watch after 1.4 s and reads the full list, the reads saturate the link of a region.
 #[gtest]
-fn who_takes_in_changes_that_come_one_after_the_other_is_behind_and_not_late() {
+fn steady_progress_does_not_trigger_a_full_read() {
     let timeout = Duration::from_millis(1_400);
     let (mut reader, mut other) = (FactAge::default(), FactAge::default());
     let mut read = Vec::new();
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn answers_of_the_store_that_bring_nothing_are_no_progress() {
+fn store_replies_without_changes_are_not_progress() {
     let timeout = Duration::from_millis(1_400);
     let mut age = FactAge::default();
     age.confirm_from_store(at(0), mark(5), mark(5));
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn another_domain_counts_by_its_sum_and_only_while_that_is_fresh() {
+fn far_domain_load_expires_with_its_report() {
     let mut peers = peers();
     let report = |sequence, loads| PeerNotice {
         domain_loads: Some(loads),
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn the_first_living_entry_of_a_domain_tells_the_others() {
+fn lowest_live_entry_reports_for_its_domain() {
     let mut peers = peers();
     expect_that!(peers.is_domain_reporter(), eq(true));
     peers.receive(at(0), notice(2, FAR, 1, Vec::new()));
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn a_domain_from_which_nothing_comes_is_out_of_reach() {
+fn domain_without_messages_is_unreachable() {
     let mut peers = peers();
     peers.receive(at(0), notice(6, NEAR, 1, Vec::new()));
     peers.receive(at(0), notice(20, FAR, 1, Vec::new()));
@@ -131,7 +131,7 @@
 }
 
 #[gtest]
-fn engines_out_of_reach_are_used_only_where_no_other_is_known() {
+fn unreachable_engines_are_used_only_without_alternative() {
     let mut both = table(&[engine("near", "z1"), engine("far", "z2")]);
     let far = std::collections::BTreeSet::from([DomainKey::from(&"z2".parse().expect("a name"))]);
     expect_that!(both.set_silent_domains(far.clone()), eq(true));
@@ -211,7 +211,7 @@
 }
 
 #[gtest]
-fn entries_spread_over_engines_of_other_domains() {
+fn entries_spread_over_engines_of_far_domains() {
     let table = table(&[engine("a", "z2"), engine("bb", "z2"), engine("ccc", "z2")]);
     let draw = |turn: u64| turn.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let chosen: std::collections::BTreeSet<String> =
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn who_starts_between_two_versions_counts_the_end_from_the_first_of_them() {
+fn process_started_during_update_uses_deadline_of_first_version() {
     let mut existing = WeightDeadlines::default();
     existing.learn(at(18_000), &model(), WeightVersion(2));
     existing.learn(at(20_000), &model(), WeightVersion(3));
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn a_version_whose_time_is_over_is_told_until_a_newer_ones_is() {
+fn expired_version_is_published_until_a_newer_one_expires() {
     let mut weights = WeightDeadlines::default();
     let sent = |weights: &WeightDeadlines, now| {
         let notices = weights.notices(at(now), CHANGE_TIME);
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn ages_go_on_while_a_relay_keeps_what_it_was_told() {
+fn ages_advance_while_a_relay_stores_a_notice() {
     let address = |text: &str| text.parse().expect("an address");
     let domain = DomainKey(1);
     let mut existing = WeightDeadlines::default();
@@ -189,7 +189,7 @@
     })]
 
     #[test]
-    fn who_joins_at_any_moment_decides_before_long_as_who_was_there(case in cases()) {
+    fn new_process_converges_to_established_deadlines(case in cases()) {
         proptest::prop_assert_eq!(simulate(&case), Ok(()));
     }
 }
--- a/crates/core/tests/plan_readers.rs
+++ b/crates/core/tests/plan_readers.rs
@@ -38,6 +38,6 @@
 }
 
 #[gtest]
-fn an_entry_that_knows_no_other_reads() {
+fn entry_without_peers_reads_the_plan() {
     expect_that!(is_plan_reader(address(9), std::iter::empty()), eq(true));
 }
--- a/crates/core/tests/plan_source.rs
+++ b/crates/core/tests/plan_source.rs
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn nobody_is_asked_while_nobody_knows_better() {
+fn no_holder_is_asked_without_a_newer_plan() {
     let mut source = behind();
     source.confirm_from_store(at(10), ChangeMark(6));
     expect_that!(source.holder(at(5000), &view(&[1], &[2]), 0), none());
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn neighbours_are_asked_at_once_and_far_entries_in_the_order_of_addresses() {
+fn near_holders_are_asked_immediately_and_far_ones_by_rank() {
     let source = behind();
     expect_that!(source.holder(at(0), &view(&[1], &[2]), 0), some(eq(address(1))));
     expect_that!(source.holder(at(390), &view(&[], &[2]), 0), none());
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn an_entry_that_reads_the_store_waits_for_its_watch_but_not_for_long() {
+fn reader_waits_briefly_for_its_watch() {
     let source = behind();
     let reader = PlanHolders { reads_store: true, ..view(&[1], &[2]) };
     expect_that!(source.holder(at(240), &reader, 0), none());
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn a_reader_whose_watch_is_late_does_not_count_until_the_store_tells_it_something() {
+fn overdue_reader_is_replaced_until_the_store_delivers() {
     let mut source = behind();
     source.record_role(at(0), true);
     expect_that!(source.is_watch_overdue(at(390)), eq(false));
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn an_entry_that_has_just_become_a_reader_counts_until_it_has_had_time_to_read() {
+fn new_reader_is_not_overdue_before_its_first_read() {
     let mut source = behind();
     source.record_role(at(100), false);
     source.take_from_peer(at(200), ChangeMark(6));
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn a_holder_that_failed_is_asked_again_last() {
+fn failed_holder_is_retried_last() {
     let mut source = behind();
     let view = view(&[1], &[2]);
     source.record_failure(address(1));
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn the_store_is_read_once_a_while_and_by_the_others_only_at_last() {
+fn store_reads_are_rate_limited_and_a_fallback_for_non_readers() {
     let reads = |is_reader: bool| -> Vec<u64> {
         let mut source = behind();
         (0..30)
--- a/crates/core/tests/retry_share.rs
+++ b/crates/core/tests/retry_share.rs
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn entries_that_start_again_do_not_spend_the_common_slack_twice() {
+fn restarted_entries_do_not_spend_the_slack_twice() {
     for killed in [7_000, 9_000, 11_000, 13_000] {
         expect_that!(excess(SMALL_FLEET, killed), le(0.0), "killed at {killed} ms");
     }
@@ -112,7 +112,7 @@
 /// slack after its restart, less than its share, the fleet still sends 1531 retries where 1528 are allowed,
 /// because no process is left that knows what has been spent.
 #[gtest]
-fn many_entries_that_start_again_at_once_do_not_spend_the_common_slack_twice() {
+fn many_restarted_entries_do_not_spend_the_slack_twice() {
     for killed in [7_000, 9_000, 11_000, 13_000] {
         expect_that!(excess(LARGE_FLEET, killed), le(0.0), "killed at {killed} ms");
     }
@@ -127,7 +127,7 @@
 /// 1932 are allowed. Of the 1856 retries in the logs of the entries, the killed ones sent 901 in the four
 /// seconds before and 544, at 0.17 of their requests, in the five seconds after their restart.
 #[gtest]
-fn entries_that_start_again_do_not_spend_the_ratio_twice() {
+fn restarted_entries_do_not_spend_the_ratio_twice() {
     const KILLED: u64 = 14_000;
     const BACK: u64 = KILLED + 900;
     let fleet = FleetSize { request_pause: 50, ..LARGE_FLEET };
@@ -170,7 +170,7 @@
 
 /// One window after its restart an entry has its full share.
 #[gtest]
-fn an_entry_has_its_share_once_nothing_from_before_counts() {
+fn entry_has_its_full_share_one_window_after_a_restart() {
     let mut entry = Entry::new(0, EntryStart::Restart);
     let free = |entry: &mut Entry, millis| {
         let now = entry.now(millis);
@@ -184,7 +184,7 @@
 
 /// A restarted entry has at least one retry, but none if the budget allows none.
 #[gtest]
-fn an_entry_that_starts_again_has_no_retry_without_any_budget() {
+fn restarted_entry_has_no_retry_without_a_budget() {
     let budget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(10) };
     let now = Moment::from_micros(100_000);
     expect_that!(RetryShare::new(budget, EntryStart::Restart).remaining(now, "s", 7), eq(0));
--- a/crates/core/tests/server_copy.rs
+++ b/crates/core/tests/server_copy.rs
@@ -40,12 +40,12 @@
 }
 
 #[gtest]
-fn nothing_is_handed_out_before_the_first_list() {
+fn no_changes_are_returned_before_the_first_list() {
     expect_that!(ServerCopy::default().changes_after(ChangeMark(0)), none());
 }
 
 #[gtest]
-fn who_is_a_little_behind_gets_what_has_changed_since() {
+fn slightly_outdated_entry_receives_a_delta() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(12, false, vec![marked("c", 12)], &[]));
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn who_knows_nothing_gets_the_whole_list() {
+fn new_entry_receives_the_full_list() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     let update = copy.changes_after(ChangeMark(0)).expect("a list is here");
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn a_server_that_a_later_list_lacks_is_gone_for_others_as_well_until_it_is_back() {
+fn server_missing_from_a_later_list_is_removed_until_readded() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, true, vec![marked("b", 2)], &[]));
@@ -84,7 +84,7 @@
 
 /// A delayed list from the store must not revert changes received from another entry.
 #[gtest]
-fn a_late_list_takes_nothing_back() {
+fn delayed_list_does_not_revert_changes() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, false, vec![marked("b", 18), marked("c", 20)], &["a"]));
