--- a/crates/core/src/direct/draining.rs
+++ b/crates/core/src/direct/draining.rs
@@ -54,7 +54,7 @@
 /// Returns whether the weight change may start.
 pub fn may_change(view: &DrainView) -> bool {
     let runs = view.requests.is_none_or(|requests| requests.active > 0);
-    if runs && view.entries.kept > 0 && view.waited < MAX_UNMOVABLE_TIME {
+    if runs && view.entries.unresumable > 0 && view.waited < MAX_UNMOVABLE_TIME {
         return false;
     }
     if view.waited >= MAX_DRAIN_TIME {
--- a/crates/core/src/direct/relay_outbox.rs
+++ b/crates/core/src/direct/relay_outbox.rs
@@ -1,5 +1,5 @@
-//! What a relay has told its members and the relays of other failure domains, and what it still has
-//! to tell.
+//! Tracks which facts a relay has sent to its members and to relays of other failure domains, and which
+//! are still due.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,14 +14,14 @@
 };
 use crate::time::Moment;
 
-/// Rounds in which everything is told once more, changed or not: a datagram may be lost, and whoever
-/// has just come has heard nothing. A round is told every 200 ms.
-const REPEAT_ROUNDS: usize = 30;
+/// Number of rounds in which all facts are resent, whether changed or not, because datagrams get lost
+/// and new processes have received none. A round takes 200 ms.
+const RESEND_ROUNDS: usize = 30;
 
-/// What is handed on of a notice.
+/// The facts of a notice that a relay forwards.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct ToldFacts {
-    life: u64,
+struct SentFacts {
+    incarnation: u64,
     plan: u64,
     reads_store: bool,
     server: Option<ServerNotice>,
@@ -29,11 +29,11 @@
     evacuated: BTreeSet<DomainKey>,
 }
 
-impl ToldFacts {
+impl SentFacts {
     fn of(notice: &PeerNotice) -> Self {
         let wanted = notice.wanted.iter().map(|one| (one.model.clone(), one.version));
         Self {
-            life: notice.life,
+            incarnation: notice.incarnation,
             plan: notice.plan,
             reads_store: notice.reads_store,
             server: notice.server.clone(),
@@ -42,9 +42,9 @@
         }
     }
 
-    fn is_of(&self, notice: &PeerNotice) -> bool {
+    fn matches(&self, notice: &PeerNotice) -> bool {
         let wanted = notice.wanted.iter().map(|one| (&one.model, one.version));
-        self.life == notice.life
+        self.incarnation == notice.incarnation
             && self.plan == notice.plan
             && self.reads_store == notice.reads_store
             && self.server == notice.server
@@ -53,60 +53,61 @@
     }
 }
 
-/// Notices that are due, by whom they are for.
+/// Due notices by receiver.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DueNotices {
-    /// Agents of any failure domain whose servers say something new: for every member.
+    /// Notices of agents in any failure domain whose server has changed, for all members.
     pub agents: Vec<RelayedNotice>,
-    /// Those of them that are of the own failure domain: for relays of others as well.
+    /// The subset from the local failure domain, which relays of other domains receive as well.
     pub near_agents: Vec<RelayedNotice>,
-    /// Entries of the own failure domain whose facts are new: for the entries there.
+    /// Notices of local entries whose facts have changed, for the local entries.
     pub entries: Vec<RelayedNotice>,
 }
 
 impl DueNotices {
-    /// Whether there is nothing to tell.
+    /// Whether no notices are due.
     pub fn is_empty(&self) -> bool {
         self.agents.is_empty() && self.entries.is_empty()
     }
 }
 
-/// What one relay has told.
+/// Facts sent by one relay, and the receivers that have had the full state.
 #[derive(Debug, Clone, Default)]
 pub struct RelayOutbox {
-    told: BTreeMap<SocketAddr, ToldFacts>,
-    /// Members of the own failure domain that have been told everything once, with their lives.
+    sent: BTreeMap<SocketAddr, SentFacts>,
+    /// Local members that have been sent the full state, with their incarnations.
     members: BTreeMap<SocketAddr, u64>,
-    /// Relays of other failure domains that have been told everything once.
-    far_relays: BTreeSet<SocketAddr>,
+    /// Relays of other failure domains that have been sent the full state.
+    known_relays: BTreeSet<SocketAddr>,
     round: usize,
 }
 
 impl RelayOutbox {
-    /// What has changed since the last call; with `repeats`, a part of what has not as well.
+    /// Facts that have changed since the last call. With `repeats`, also a part of the unchanged ones.
     pub fn take_due(&mut self, now: Moment, peers: &PeerTable, repeats: bool) -> DueNotices {
         self.round += usize::from(repeats);
-        let turn = self.round % REPEAT_ROUNDS;
+        let turn = self.round % RESEND_ROUNDS;
         let mut due = DueNotices::default();
         for (place, peer) in peers.living().enumerate() {
-            let is_repeated = repeats && place % REPEAT_ROUNDS == turn;
-            if !self.is_told(peer) || is_repeated {
+            let is_repeated = repeats && place % RESEND_ROUNDS == turn;
+            if !self.mark_sent(peer) || is_repeated {
                 due.add(now, peers, peer);
             }
         }
         if repeats && turn == 0 {
-            self.told.retain(|address, _| peers.knows(*address));
+            self.sent.retain(|address, _| peers.knows(*address));
         }
         due
     }
 
-    /// Members of the own failure domain that have just come: they are to be told everything.
-    pub fn take_newcomers(&mut self, peers: &PeerTable) -> Vec<SocketAddr> {
-        let heard = peers.living().filter(|peer| peers.is_near(peer) && peer.notice.life != 0);
+    /// Members of the local failure domain that are new and must be sent the full state.
+    pub fn take_new_members(&mut self, peers: &PeerTable) -> Vec<SocketAddr> {
+        let heard =
+            peers.living().filter(|peer| peers.is_near(peer) && peer.notice.incarnation != 0);
         let mut newcomers = Vec::new();
         for peer in heard {
-            let known = self.members.insert(peer.notice.from, peer.notice.life);
-            if known != Some(peer.notice.life) {
+            let known = self.members.insert(peer.notice.from, peer.notice.incarnation);
+            if known != Some(peer.notice.incarnation) {
                 newcomers.push(peer.notice.from);
             }
         }
@@ -114,36 +115,35 @@
         newcomers
     }
 
-    /// Those of the relays of other failure domains that have just become known: they are to be told
-    /// everything of this one.
+    /// Those of the given far relays that are new and must be sent the full state of this failure domain.
     pub fn take_new_relays(&mut self, relays: &[SocketAddr]) -> Vec<SocketAddr> {
-        let new = relays.iter().filter(|relay| !self.far_relays.contains(relay));
+        let new = relays.iter().filter(|relay| !self.known_relays.contains(relay));
         let new: Vec<SocketAddr> = new.copied().collect();
-        self.far_relays = relays.iter().copied().collect();
+        self.known_relays = relays.iter().copied().collect();
         new
     }
 
-    /// Everything that members are told.
-    pub fn everything(now: Moment, peers: &PeerTable) -> DueNotices {
+    /// The full state that members receive.
+    pub fn all_notices(now: Moment, peers: &PeerTable) -> DueNotices {
         let mut due = DueNotices::default();
         peers.living().for_each(|peer| due.add(now, peers, peer));
         due
     }
 
-    /// Whether the facts of a peer have been told; from now on they have.
-    fn is_told(&mut self, peer: &Peer) -> bool {
-        let told = self.told.get(&peer.notice.from);
-        if told.is_some_and(|told| told.is_of(&peer.notice)) {
+    /// Marks the current facts of a peer as sent. Returns whether they had been sent before.
+    fn mark_sent(&mut self, peer: &Peer) -> bool {
+        let sent = self.sent.get(&peer.notice.from);
+        if sent.is_some_and(|sent| sent.matches(&peer.notice)) {
             return true;
         }
-        self.told.insert(peer.notice.from, ToldFacts::of(&peer.notice));
+        self.sent.insert(peer.notice.from, SentFacts::of(&peer.notice));
         false
     }
 }
 
 impl DueNotices {
     fn add(&mut self, now: Moment, peers: &PeerTable, peer: &Peer) {
-        let relayed = RelayedNotice { notice: peer.facts(now), age: now.since(peer.heard) };
+        let relayed = RelayedNotice { notice: peer.facts(now), age: now.since(peer.last_seen) };
         match (peer.notice.kind, peers.is_near(peer)) {
             (PeerKind::Agent, _) if peer.notice.server.is_none() => {}
             (PeerKind::Agent, true) => {
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -241,7 +241,7 @@
         let limits =
             ContinuationLimits { layers: 0, min_version: None, retries: 10, within_region };
         let drains = table.drains(at(2), &[("llm".into(), limits)].into());
-        drains.iter().map(|drain| drain.kept).sum::<u32>()
+        drains.iter().map(|drain| drain.unresumable).sum::<u32>()
     };
     expect_that!(kept(false), eq(0));
     expect_that!(kept(true), eq(1));
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -9,7 +9,7 @@
         event_split::EventSplitter,
         fact_age::ChangeMark,
         leaving::LeavingNotice,
-        peers::{DomainKey, PEER_SILENCE, PeerKind, PeerTable, ServerNotice},
+        peers::{DomainKey, NEAR_PEER_TIMEOUT, PeerKind, PeerTable, ServerNotice},
         retry_share::{EntryStart, RetryBudget, RetryShare},
         route_table::{Denial, RouteTable, pick_target},
         server_table::{
@@ -66,11 +66,11 @@
 fn unknown_api_key_is_denied() {
     let table = RouteTable::new(Arc::new(plan(vec![route("one", "/a/")])));
     let one = table.route("a.example", "/a/").expect("it is there").clone();
-    expect_that!(table.tenant(&one, Some("k")).map(|one| one.is_some()), ok(eq(true)));
-    expect_that!(table.tenant(&one, Some("x")), err(eq(Denial::UnknownKey)));
-    expect_that!(table.tenant(&one, None), err(eq(Denial::UnknownKey)));
+    expect_that!(table.organisation(&one, Some("k")).map(|one| one.is_some()), ok(eq(true)));
+    expect_that!(table.organisation(&one, Some("x")), err(eq(Denial::UnknownKey)));
+    expect_that!(table.organisation(&one, None), err(eq(Denial::UnknownKey)));
     let open = Route { anonymous: true, ..one };
-    expect_that!(table.tenant(&open, None).map(|one| one.is_none()), ok(eq(true)));
+    expect_that!(table.organisation(&open, None).map(|one| one.is_none()), ok(eq(true)));
 }
 
 #[gtest]
@@ -94,24 +94,24 @@
 #[gtest]
 fn retries_stay_within_share_of_entry() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
-    (0..100).for_each(|_| share.note_request(at(4_000), "llm"));
-    let taken = (0..1000).filter(|_| share.take(at(4_001), "llm", 10)).count();
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
+    (0..100).for_each(|_| share.record_request(at(4_000), "llm"));
+    let taken = (0..1000).filter(|_| share.try_take(at(4_001), "llm", 10)).count();
     // (0.2 x 100 + 100 / 10) x 85 in 100.
     expect_that!(taken, eq(25));
-    expect_that!(share.take(at(24_000), "llm", 10), eq(true));
+    expect_that!(share.try_take(at(24_000), "llm", 10), eq(true));
 }
 
 #[gtest]
 fn membership_changes_do_not_enlarge_retry_shares() {
     let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     // Just after the start no other entries are known, so the slack belongs to everyone.
     let count = |share: &mut RetryShare, now, entries| {
-        (0..1000).filter(|_| share.take(at(now), "llm", entries)).count()
+        (0..1000).filter(|_| share.try_take(at(now), "llm", entries)).count()
     };
     expect_that!(count(&mut share, 1_000, 1), eq(2));
-    let mut share = RetryShare::new(budget, EntryStart::WithAllOthers);
+    let mut share = RetryShare::new(budget, EntryStart::FirstStart);
     expect_that!(count(&mut share, 4_000, 10), eq(8));
     // Nine of ten entries are unreachable: the share stays unchanged until the window has passed.
     expect_that!(count(&mut share, 9_000, 1), eq(0));
@@ -346,14 +346,14 @@
 #[gtest]
 fn stale_notices_are_ignored_and_silent_peers_expire() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
-    expect_that!(peers.hear(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
-    peers.hear(at(1), notice("10.0.0.2:7", 1, 4, 9));
+    expect_that!(peers.receive(at(0), notice("10.0.0.2:7", 1, 5, 3)).joined, eq(true));
+    peers.receive(at(1), notice("10.0.0.2:7", 1, 4, 9));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(3)));
     // A restarted peer starts a new sequence.
-    peers.hear(at(2), notice("10.0.0.2:7", 2, 1, 1));
+    peers.receive(at(2), notice("10.0.0.2:7", 2, 1, 1));
     expect_that!(peers.loads().get(&7).map(|load| load.in_flight), some(eq(1)));
     expect_that!(peers.entries(PeerKind::Entry), eq(2));
-    let gone = peers.expire(at(2) + PEER_SILENCE + millis(1));
+    let gone = peers.expire(at(2) + NEAR_PEER_TIMEOUT + millis(1));
     expect_that!(gone.len(), eq(1));
     expect_that!(peers.loads().is_empty(), eq(true));
     expect_that!(peers.candidates().count(), eq(1));
@@ -362,8 +362,8 @@
 #[gtest]
 fn peer_ignores_its_own_address() {
     let mut peers = PeerTable::new("10.0.0.1:7".parse().expect("an address"), DomainKey(1));
-    peers.suggest(at(0), "10.0.0.1:7".parse().expect("an address"));
-    peers.hear(at(0), notice("10.0.0.1:7", 1, 1, 1));
+    peers.add_candidate(at(0), "10.0.0.1:7".parse().expect("an address"));
+    peers.receive(at(0), notice("10.0.0.1:7", 1, 1, 1));
     expect_that!(peers.candidates().count(), eq(0));
     expect_that!(peers.living().count(), eq(0));
 }
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of the load of servers, within and between failure domains.
+//! Load reports between entries, within and across failure domains.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,7 +8,8 @@
         engine_model::{EngineLoad, EngineWork},
         fact_age::ChangeMark,
         peers::{
-            DomainKey, FAR_SILENCE, LoadNotice, PEER_SILENCE, PeerKind, PeerNotice, PeerTable,
+            DomainKey, FAR_PEER_TIMEOUT, LoadNotice, NEAR_PEER_TIMEOUT, PeerKind, PeerNotice,
+            PeerTable,
         },
         server_table::{
             EngineQuery, ServerChoice, ServerOutcome, ServerQuery, ServerTable, server_key,
@@ -47,78 +48,90 @@
 #[gtest]
 fn a_notice_of_changes_leaves_the_other_servers_as_they_were() {
     let mut peers = peers();
-    peers.hear(at(0), notice(6, NEAR, 1, vec![load(1, 3), load(2, 4)]));
+    peers.receive(at(0), notice(6, NEAR, 1, vec![load(1, 3), load(2, 4)]));
     let changes = notice(6, NEAR, 2, vec![load(2, 5), load(3, 1)]);
-    peers.hear(at(1), PeerNotice { changes_only: true, ..changes });
+    peers.receive(at(1), PeerNotice { changes_only: true, ..changes });
     expect_that!(peers.load_of(1).in_flight, eq(3));
     expect_that!(peers.load_of(2).in_flight, eq(5));
     expect_that!(peers.load_of(3).in_flight, eq(1));
     let changes = notice(6, NEAR, 3, vec![load(1, 0)]);
-    peers.hear(at(2), PeerNotice { changes_only: true, ..changes });
+    peers.receive(at(2), PeerNotice { changes_only: true, ..changes });
     expect_that!(peers.load_of(1).in_flight, eq(0));
-    // The full list that follows counts whatever was lost.
-    peers.hear(at(3), notice(6, NEAR, 4, vec![load(3, 2)]));
+    // The next full list corrects for lost deltas.
+    peers.receive(at(3), notice(6, NEAR, 4, vec![load(3, 2)]));
     expect_that!(peers.load_of(2).in_flight, eq(0));
     expect_that!(peers.load_of(3).in_flight, eq(2));
 }
 
 #[gtest]
-fn another_domain_counts_by_its_sum_and_only_while_that_is_fresh() {
+fn far_domain_load_expires_with_its_report() {
     let mut peers = peers();
-    let told = |sequence, loads| PeerNotice {
+    let report = |sequence, loads| PeerNotice {
         domain_loads: Some(loads),
         ..notice(20, FAR, sequence, vec![load(9, 50)])
     };
-    peers.hear(at(0), told(1, vec![load(1, 7)]));
+    peers.receive(at(0), report(1, vec![load(1, 7)]));
     expect_that!(peers.load_of(1).in_flight, eq(7));
     expect_that!(peers.load_of(9).in_flight, eq(0));
-    peers.hear(at(10), told(2, vec![load(1, 4)]));
+    peers.receive(at(10), report(2, vec![load(1, 4)]));
     expect_that!(peers.loads().get(&1).map(|load| load.in_flight), some(eq(4)));
     peers.expire(at(1_000));
     expect_that!(peers.load_of(1).in_flight, eq(0));
 }
 
 #[gtest]
-fn the_first_living_entry_of_a_domain_tells_the_others() {
+fn lowest_live_entry_reports_for_its_domain() {
     let mut peers = peers();
-    expect_that!(peers.speaks_for_domain(), eq(true));
-    peers.hear(at(0), notice(2, FAR, 1, Vec::new()));
-    expect_that!(peers.speaks_for_domain(), eq(true));
-    peers.hear(at(0), notice(3, NEAR, 1, Vec::new()));
-    expect_that!(peers.speaks_for_domain(), eq(false));
-    peers.expire(at(1) + PEER_SILENCE);
-    expect_that!(peers.speaks_for_domain(), eq(true));
-    // The far peer is heard less often and lives on.
+    expect_that!(peers.is_domain_reporter(), eq(true));
+    peers.receive(at(0), notice(2, FAR, 1, Vec::new()));
+    expect_that!(peers.is_domain_reporter(), eq(true));
+    peers.receive(at(0), notice(3, NEAR, 1, Vec::new()));
+    expect_that!(peers.is_domain_reporter(), eq(false));
+    peers.expire(at(1) + NEAR_PEER_TIMEOUT);
+    expect_that!(peers.is_domain_reporter(), eq(true));
+    // The far peer sends less often and has a longer timeout.
     expect_that!(peers.entries(PeerKind::Entry), eq(2));
-    peers.expire(at(1) + FAR_SILENCE);
+    peers.expire(at(1) + FAR_PEER_TIMEOUT);
     expect_that!(peers.entries(PeerKind::Entry), eq(1));
 }
 
 #[gtest]
-fn a_domain_from_which_nothing_comes_is_out_of_reach() {
+fn domain_without_messages_is_unreachable() {
     let mut peers = peers();
-    peers.hear(at(0), notice(6, NEAR, 1, Vec::new()));
-    peers.hear(at(0), notice(20, FAR, 1, Vec::new()));
-    peers.hear(at(600), notice(6, NEAR, 2, Vec::new()));
-    expect_that!(peers.silent_domains(at(601)).into_iter().collect::<Vec<_>>(), eq(&vec![FAR]));
-    // Nobody is heard: this process may have stopped for a while.
-    expect_that!(peers.silent_domains(at(2_000)).len(), eq(0));
-    peers.hear(at(2_000), notice(20, FAR, 2, Vec::new()));
-    peers.hear(at(2_000), notice(6, NEAR, 3, Vec::new()));
-    expect_that!(peers.silent_domains(at(2_001)).len(), eq(0));
+    peers.receive(at(0), notice(6, NEAR, 1, Vec::new()));
+    peers.receive(at(0), notice(20, FAR, 1, Vec::new()));
+    peers.receive(at(600), notice(6, NEAR, 2, Vec::new()));
+    expect_that!(
+        peers.unreachable_domains(at(601)).into_iter().collect::<Vec<_>>(),
+        eq(&vec![FAR])
+    );
+    // Without messages from any peer, this process may itself have been suspended.
+    expect_that!(peers.unreachable_domains(at(2_000)).len(), eq(0));
+    peers.receive(at(2_000), notice(20, FAR, 2, Vec::new()));
+    peers.receive(at(2_000), notice(6, NEAR, 3, Vec::new()));
+    expect_that!(peers.unreachable_domains(at(2_001)).len(), eq(0));
 }
 
 #[gtest]
 fn a_process_that_was_cut_off_knows_it_when_it_hears_somebody_again() {
     let mut peers = peers();
-    expect_that!(peers.hear(at(0), notice(6, NEAR, 1, Vec::new())).after_silence, eq(false));
-    expect_that!(peers.hear(at(500), notice(20, FAR, 1, Vec::new())).after_silence, eq(false));
-    expect_that!(peers.hear(at(9_000), notice(6, NEAR, 2, Vec::new())).after_silence, eq(true));
-    expect_that!(peers.hear(at(9_010), notice(20, FAR, 2, Vec::new())).after_silence, eq(false));
+    expect_that!(peers.receive(at(0), notice(6, NEAR, 1, Vec::new())).after_disconnect, eq(false));
+    expect_that!(
+        peers.receive(at(500), notice(20, FAR, 1, Vec::new())).after_disconnect,
+        eq(false)
+    );
+    expect_that!(
+        peers.receive(at(9_000), notice(6, NEAR, 2, Vec::new())).after_disconnect,
+        eq(true)
+    );
+    expect_that!(
+        peers.receive(at(9_010), notice(20, FAR, 2, Vec::new())).after_disconnect,
+        eq(false)
+    );
 }
 
 #[gtest]
-fn engines_out_of_reach_are_used_only_where_no_other_is_known() {
+fn unreachable_engines_are_used_only_without_alternative() {
     let mut both = table(&[engine("near", "z1"), engine("far", "z2")]);
     let far = std::collections::BTreeSet::from([DomainKey::from(&"z2".parse().expect("a name"))]);
     expect_that!(both.set_unreachable_domains(far.clone()), eq(true));
@@ -198,7 +211,7 @@
 }
 
 #[gtest]
-fn entries_spread_over_engines_of_other_domains() {
+fn entries_spread_over_engines_of_far_domains() {
     let table = table(&[engine("a", "z2"), engine("bb", "z2"), engine("ccc", "z2")]);
     let draw = |turn: u64| turn.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let chosen: std::collections::BTreeSet<String> =
@@ -211,8 +224,8 @@
     let mut table = table(&[engine("near", "z1")]);
     let near = ServerId("near".into());
     table.begin(&near, 100);
-    let told = table.take_load_changes();
-    expect_that!(told.first().map(|notice| notice.load.waiting_tokens), some(eq(100)));
+    let changes = table.take_load_changes();
+    expect_that!(changes.first().map(|notice| notice.load.waiting_tokens), some(eq(100)));
     table.finish_prefill(&near, 100);
     expect_that!(table.has_urgent_load_changes(), eq(false));
     table.end(at(1), &near, ServerOutcome::Answered);
@@ -229,6 +242,6 @@
     table.set_entries(40);
     let draw = |turn: u64| (turn + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let chosen = (0..400).filter(|turn| choose(&table, &figures(), draw(*turn)) == "far").count();
-    // Six of forty.
+    // On average 6 of 40 entries may choose the engine, which makes 60 of 400 draws.
     expect_that!(chosen, all![ge(30), le(90)]);
 }
--- a/crates/core/tests/server_copy.rs
+++ b/crates/core/tests/server_copy.rs
@@ -1,9 +1,9 @@
-//! The list of servers as entries hand it to each other.
+//! Replication of the list of servers between entries.
 
 use googletest::prelude::*;
 use headlatch_core::direct::{
     fact_age::ChangeMark,
-    server_copy::{GoneServer, MarkedRecord, ServerChanges, ServerCopy},
+    server_copy::{RemovedServer, RevisionedRecord, ServerChanges, ServerCopy},
 };
 use headlatch_types::traffic::{ServerId, ServerRecord};
 
@@ -21,13 +21,13 @@
     }
 }
 
-fn marked(id: &str, revision: u64) -> MarkedRecord {
-    MarkedRecord { revision: ChangeMark(revision), record: record(id, false) }
+fn marked(id: &str, revision: u64) -> RevisionedRecord {
+    RevisionedRecord { revision: ChangeMark(revision), record: record(id, false) }
 }
 
-fn changes(covered: u64, whole: bool, set: Vec<MarkedRecord>, gone: &[&str]) -> ServerChanges {
-    let gone = gone.iter().map(|id| GoneServer {
-        // The store tells the revision of the last change of what is gone.
+fn changes(covered: u64, whole: bool, set: Vec<RevisionedRecord>, gone: &[&str]) -> ServerChanges {
+    let gone = gone.iter().map(|id| RemovedServer {
+        // The store reports the revision of the last change before the removal.
         revision: ChangeMark(1),
         id: ServerId((*id).into()),
     });
@@ -40,60 +40,60 @@
 }
 
 #[gtest]
-fn nothing_is_handed_out_before_the_first_list() {
+fn no_changes_are_returned_before_the_first_list() {
     expect_that!(ServerCopy::default().changes_after(ChangeMark(0)), none());
 }
 
 #[gtest]
-fn who_is_a_little_behind_gets_what_has_changed_since() {
+fn slightly_outdated_entry_receives_a_delta() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(12, false, vec![marked("c", 12)], &[]));
     copy.take(&changes(14, false, Vec::new(), &["a"]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.whole, eq(false));
-    expect_that!(ids(&told), elements_are![eq("c")]);
-    expect_that!(told.gone.len(), eq(1));
-    expect_that!(told.covered, eq(ChangeMark(14)));
-    let told = copy.changes_after(ChangeMark(14)).expect("a list is here");
-    expect_that!(ids(&told), is_empty());
-    expect_that!(told.gone.len(), eq(0));
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.whole, eq(false));
+    expect_that!(ids(&update), elements_are![eq("c")]);
+    expect_that!(update.gone.len(), eq(1));
+    expect_that!(update.covered, eq(ChangeMark(14)));
+    let update = copy.changes_after(ChangeMark(14)).expect("a list is here");
+    expect_that!(ids(&update), is_empty());
+    expect_that!(update.gone.len(), eq(0));
 }
 
 #[gtest]
-fn who_knows_nothing_gets_the_whole_list() {
+fn new_entry_receives_the_full_list() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
-    let told = copy.changes_after(ChangeMark(0)).expect("a list is here");
-    expect_that!(told.whole, eq(true));
-    expect_that!(ids(&told), elements_are![eq("a"), eq("b")]);
+    let update = copy.changes_after(ChangeMark(0)).expect("a list is here");
+    expect_that!(update.whole, eq(true));
+    expect_that!(ids(&update), elements_are![eq("a"), eq("b")]);
 }
 
 #[gtest]
-fn a_server_that_a_later_list_lacks_is_gone_for_others_as_well_until_it_is_back() {
+fn server_missing_from_a_later_list_is_removed_until_readded() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, true, vec![marked("b", 2)], &[]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.gone.first().map(|gone| gone.id.0.to_string()), some(eq("a")));
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.gone.first().map(|gone| gone.id.0.to_string()), some(eq("a")));
     copy.take(&changes(25, false, vec![marked("a", 25)], &[]));
-    let told = copy.changes_after(ChangeMark(10)).expect("a list is here");
-    expect_that!(told.gone.len(), eq(0));
-    expect_that!(ids(&told), elements_are![eq("a")]);
+    let update = copy.changes_after(ChangeMark(10)).expect("a list is here");
+    expect_that!(update.gone.len(), eq(0));
+    expect_that!(ids(&update), elements_are![eq("a")]);
 }
 
-/// A list that the store answers late must not take back what another entry has handed over.
+/// A delayed list from the store must not revert changes received from another entry.
 #[gtest]
-fn a_late_list_takes_nothing_back() {
+fn delayed_list_does_not_revert_changes() {
     let mut copy = ServerCopy::default();
     copy.take(&changes(10, true, vec![marked("a", 1), marked("b", 2)], &[]));
     copy.take(&changes(20, false, vec![marked("b", 18), marked("c", 20)], &["a"]));
     let late = changes(15, true, vec![marked("a", 1), marked("b", 2)], &[]);
-    let news = copy.news_of(late);
-    expect_that!(news.whole, eq(false));
-    expect_that!(ids(&news), is_empty());
-    // A newer list says everything.
-    let newer = copy.news_of(changes(30, true, vec![marked("b", 18), marked("d", 30)], &[]));
+    let remaining = copy.newer_changes(late);
+    expect_that!(remaining.whole, eq(false));
+    expect_that!(ids(&remaining), is_empty());
+    // A newer list is applied in full.
+    let newer = copy.newer_changes(changes(30, true, vec![marked("b", 18), marked("d", 30)], &[]));
     expect_that!(newer.whole, eq(true));
     expect_that!(ids(&newer), elements_are![eq("b"), eq("d")]);
 }
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -30,7 +30,7 @@
     let own = state.settings.node.control;
     let peers = lock(&state.peers);
     let agents: Vec<(u64, &ServerNotice)> = peers
-        .in_reach(state.node.now())
+        .reachable(state.node.now())
         .filter_map(|peer| {
             let server = peer.notice.server.as_ref()?;
             Some((state.seat_key(peer.notice.from).0, server))
@@ -100,7 +100,7 @@
     let fields = json!({
         "waited_ms": view.waited.as_millis() as u64, "queued": requests.queued,
         "active": requests.active, "unconfirmed": view.entries.unconfirmed,
-        "waiting": view.entries.waiting, "kept": view.entries.kept,
+        "waiting": view.entries.waiting, "kept": view.entries.unresumable,
     });
     decisions::note("engine", "emptied", fields);
 }
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -161,13 +161,13 @@
     let drain = |drain: &DrainNotice| wire::NoticeDrain {
         server: address_bytes(&drain.server),
         waiting: drain.waiting,
-        kept: drain.kept,
+        kept: drain.unresumable,
     };
     let domain_loads = notice.domain_loads.as_deref().unwrap_or_default();
     wire::PeerNotice {
         from: address_bytes(&notice.from),
         agent: notice.kind == PeerKind::Agent,
-        life: notice.life,
+        life: notice.incarnation,
         sequence: notice.sequence,
         plan: notice.plan,
         servers: notice.servers.0,
@@ -214,14 +214,14 @@
     };
     let drain = |drain: &wire::NoticeDrain| {
         let (waiting, kept) = (drain.waiting, drain.kept);
-        Some(DrainNotice { server: address_of(&drain.server)?, waiting, kept })
+        Some(DrainNotice { server: address_of(&drain.server)?, waiting, unresumable: kept })
     };
     let domain_loads = || message.domain_loads.iter().map(decode_load).collect();
     Some(PeerNotice {
         from: address_of(&message.from)?,
         kind: if message.agent { PeerKind::Agent } else { PeerKind::Entry },
         domain: DomainKey(message.domain),
-        life: message.life,
+        incarnation: message.life,
         sequence: message.sequence,
         plan: message.plan,
         servers: ChangeMark(message.servers),
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -14,7 +14,7 @@
 use headlatch_core::{
     direct::{
         fact_age::{ChangeMark, FactAge},
-        plan_source::{HolderView, PlanSource},
+        plan_source::{PlanHolders, PlanSource},
         route_table::RouteTable,
     },
     time::Moment,
@@ -141,16 +141,16 @@
     /// Whether the store answers this entry's calls for the plan, as far as it knows: a watch that
     /// has not brought what others have does not count as answered.
     pub fn reads_store(&self, now: Moment) -> bool {
-        self.store_answers.load(Ordering::Relaxed) && !self.source().is_watch_late(now)
+        self.store_answers.load(Ordering::Relaxed) && !self.source().is_watch_overdue(now)
     }
 
     /// Another entry has the plan of `version`; tells whether the store is to be read because of
     /// that.
     pub fn note_told(&self, now: Moment, version: PlanVersion, is_reader: bool) -> bool {
         let mut source = self.source();
-        source.note_role(now, is_reader);
-        source.note_told(now, ChangeMark(version.0));
-        let reads = source.take_read(now, is_reader);
+        source.record_role(now, is_reader);
+        source.record_peer_position(now, ChangeMark(version.0));
+        let reads = source.take_due_read(now, is_reader);
         let is_behind = source.age().behind(now).is_some();
         drop(source);
         if is_behind {
@@ -165,13 +165,13 @@
     }
 
     /// Whom to ask for a newer plan now.
-    pub fn holder(&self, now: Moment, view: &HolderView) -> Option<SocketAddr> {
+    pub fn holder(&self, now: Moment, view: &PlanHolders) -> Option<SocketAddr> {
         self.source().holder(now, view, rand::random())
     }
 
     /// A holder was asked and did not hand the plan over.
     pub fn note_failed(&self, holder: SocketAddr) {
-        self.source().note_failed(holder);
+        self.source().record_failure(holder);
     }
 
     /// Waits until another entry has a newer plan.
