--- a/crates/core/src/direct/staging.rs
+++ b/crates/core/src/direct/staging.rs
@@ -8,14 +8,14 @@
 use headlatch_outside::engine::{OrderAnswer, OrderSequence, StageReport};
 use headlatch_types::traffic::{BirthTime, WeightVersion};
 
-use super::weight_deadline::sending_time;
+use super::weight_deadline::dispatch_time;
 use crate::time::Moment;
 
 /// Time after which an order without an effect is given again.
-const ORDER_PATIENCE: Duration = Duration::from_secs(2);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which pieces that were read back count as right: they may rot.
-const CHECK_LIFE: Duration = Duration::from_millis(1500);
+const CHECK_VALIDITY: Duration = Duration::from_millis(1500);
 
 /// Time that one server takes to be emptied and to change.
 const TURN_TIME: Duration = Duration::from_millis(1100);
@@ -108,7 +108,7 @@
     }
     // While an order is under way the stage is left alone, unless the engine has taken what lay
     // there already and another version is next.
-    let open = order_is_open(view);
+    let open = order_is_pending(view);
     let taken = view.order.is_some_and(|order| {
         order.answer == Some(OrderAnswer::Begun) && order.version != view.wanted
     });
@@ -127,18 +127,18 @@
     if !all_placed || !view.turn || view.report.busy {
         return StageStep::Wait;
     }
-    let checked = view.stage.checked.is_some_and(|at| view.now.since(at) < CHECK_LIFE);
+    let checked = view.stage.checked.is_some_and(|at| view.now.since(at) < CHECK_VALIDITY);
     if checked { StageStep::Order(view.report.sequence) } else { StageStep::Check }
 }
 
 /// An order without an effect so far: it may have been taken, or may be yet.
-fn order_is_open(view: &StageView<'_>) -> bool {
+fn order_is_pending(view: &StageView<'_>) -> bool {
     let Some(order) = view.order else { return false };
     let begun = matches!(order.answer, None | Some(OrderAnswer::Begun | OrderAnswer::Holds));
     begun
         && order.version == view.wanted
         && view.report.sequence <= order.expected
-        && view.now.since(order.given) < ORDER_PATIENCE
+        && view.now.since(order.given) < ORDER_TIMEOUT
 }
 
 /// What another agent tells, as far as turns go.
@@ -166,7 +166,7 @@
     time: Duration,
     others: &[TurnView],
 ) -> bool {
-    let latest = sending_time(time);
+    let latest = dispatch_time(time);
     if !serves || since >= latest {
         return true;
     }
--- a/crates/core/src/direct/suspects.rs
+++ b/crates/core/src/direct/suspects.rs
@@ -17,22 +17,22 @@
 use super::request_digest::RequestDigest;
 use crate::time::Moment;
 
+mod completed;
 mod notices;
-mod sound;
 
-pub use notices::{MOST_TOLD, SuspectNotice};
-use sound::SoundRequests;
+use completed::CompletedRequests;
+pub use notices::{MAX_NOTICES, SuspectNotice};
 
 /// Ends of servers from which on a request is refused. Requests beside a harmful one meet two ends at
 /// times, where it is continued at the same second server as they are.
-const MOST_ENDS: usize = 3;
+const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Time between two ends after which a request that never brought anything, anywhere, is refused
 /// without a third. Sound ones wait for a first event for a third of a second, and hardly ever twice at
 /// servers that end; but servers that are lost together end within a tenth of a second, in which a
 /// request may be sent from one to the next: where two fifths to two thirds of a service were lost
 /// eight times in 15 s, one of some five hundred sound requests was refused without this time.
-const APART_TIME: Duration = Duration::from_millis(250);
+const MIN_END_SPAN: Duration = Duration::from_millis(250);
 
 /// Time for which a request is refused after its last coming. Longer than callers go on trying; a sound
 /// one that was taken for harmful is served again after that.
@@ -43,15 +43,15 @@
 
 /// Time for which old word of a request that has been cleared is not believed: several times as long
 /// as entries tell what is new.
-const ECHO_TIME: Duration = Duration::from_secs(5);
+const STALE_NOTICE_TIME: Duration = Duration::from_secs(5);
 
 /// Suspects kept at most. Three quarters of a hundred servers that end at once have some thousand
 /// requests; each takes some hundred bytes.
-pub const MOST_SUSPECTS: usize = 2048;
+pub const MAX_SUSPECTS: usize = 2048;
 
 /// Requests that are refused at most, so that a caller who makes servers end on purpose cannot fill
 /// the memory; each of them costs two ends.
-pub const MOST_QUARANTINED: usize = 256;
+pub const MAX_QUARANTINED: usize = 256;
 
 /// One life of a server, from its start to its end, as a short key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -65,11 +65,11 @@
 
 /// How far a request had come at a server that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EndedRun {
+pub enum ProgressAtEnd {
     /// It had brought nothing.
-    Silent,
+    NoOutput,
     /// It had brought a part of its answer.
-    Begun,
+    PartialOutput,
 }
 
 /// What a word about a suspect changed.
@@ -104,19 +104,19 @@
 
 /// An end of a server under a request.
 #[derive(Debug, Clone, Copy)]
-struct NotedEnd {
-    run: EndedRun,
+struct RecordedEnd {
+    run: ProgressAtEnd,
     /// When it was seen, or heard of.
-    noted: Moment,
+    recorded: Moment,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    ends: BTreeMap<LifeKey, NotedEnd>,
+    ends: BTreeMap<LifeKey, RecordedEnd>,
     /// This entry has seen one of the ends itself.
     seen: bool,
     /// When something new was learnt of it.
-    learnt: Moment,
+    updated: Moment,
     refused_until: Option<Moment>,
 }
 
@@ -125,20 +125,20 @@
         self.refused_until.is_some_and(|until| until > now)
     }
 
-    fn is_proved(&self) -> bool {
-        let noted = || self.ends.values().map(|end| end.noted);
-        let span = noted().max().unwrap_or_default().since(noted().min().unwrap_or_default());
-        let silent = self.ends.values().all(|end| end.run == EndedRun::Silent);
-        self.ends.len() >= MOST_ENDS || (silent && span >= APART_TIME)
+    fn meets_threshold(&self) -> bool {
+        let recorded = || self.ends.values().map(|end| end.recorded);
+        let span = recorded().max().unwrap_or_default().since(recorded().min().unwrap_or_default());
+        let silent = self.ends.values().all(|end| end.run == ProgressAtEnd::NoOutput);
+        self.ends.len() >= QUARANTINE_THRESHOLD || (silent && span >= MIN_END_SPAN)
     }
 
     /// Whether others are to hear of it again and again: with one end more it is refused, or it is.
-    fn lasts(&self, now: Moment) -> bool {
+    fn needs_repeating(&self, now: Moment) -> bool {
         self.is_refused(now) || self.ends.len() > 1
     }
 
-    fn is_kept(&self, now: Moment) -> bool {
-        self.is_refused(now) || now.since(self.learnt) <= SUSPICION_TIME
+    fn is_current(&self, now: Moment) -> bool {
+        self.is_refused(now) || now.since(self.updated) <= SUSPICION_TIME
     }
 }
 
@@ -148,20 +148,20 @@
     suspects: BTreeMap<RequestDigest, Suspect>,
     /// Suspects by when something new was learnt of them.
     by_age: BTreeSet<(Moment, RequestDigest)>,
-    sound: SoundRequests,
+    completed: CompletedRequests,
     cleared: BTreeMap<RequestDigest, Moment>,
 }
 
 impl SuspectTable {
     /// A server has ended while it had the request, as this entry has seen.
-    pub fn note_end(
+    pub fn record_server_end(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         life: LifeKey,
-        run: EndedRun,
+        run: ProgressAtEnd,
     ) -> SuspectChange {
-        if self.sound.has_run(now, digest) {
+        if self.completed.completed_recently(now, digest) {
             return SuspectChange::None;
         }
         self.suspects.entry(digest).or_default().seen = true;
@@ -169,13 +169,13 @@
     }
 
     /// The request has run to its end: it harms nobody.
-    pub fn note_whole(&mut self, now: Moment, digest: RequestDigest) -> SuspectChange {
-        self.sound.note(now, digest);
-        match self.suspects.get(&digest).map(|suspect| suspect.lasts(now)) {
+    pub fn record_completion(&mut self, now: Moment, digest: RequestDigest) -> SuspectChange {
+        self.completed.record(now, digest);
+        match self.suspects.get(&digest).map(|suspect| suspect.needs_repeating(now)) {
             Some(true) => self.clear(now, digest),
             // Where others count a second end of it, this entry speaks for it then.
             Some(false) => {
-                self.drop_suspect(digest);
+                self.remove_suspect(digest);
                 SuspectChange::None
             }
             None => SuspectChange::None,
@@ -188,7 +188,7 @@
     }
 
     /// The store, or another entry, says that the request is refused for `left` more.
-    pub fn note_kept(
+    pub fn record_quarantine(
         &mut self,
         now: Moment,
         digest: RequestDigest,
@@ -198,18 +198,18 @@
     }
 
     /// Takes in what another entry tells.
-    pub fn hear(&mut self, now: Moment, notice: SuspectNotice) -> SuspectChange {
+    pub fn apply(&mut self, now: Moment, notice: SuspectNotice) -> SuspectChange {
         let digest = notice.digest();
         match notice {
             SuspectNotice::Cleared { .. } => self.clear(now, digest),
-            _ if self.is_echo(now, digest) => SuspectChange::None,
-            _ if self.sound.has_run(now, digest) => {
+            _ if self.is_stale(now, digest) => SuspectChange::None,
+            _ if self.completed.completed_recently(now, digest) => {
                 // Whoever tells that has not heard how the request ran here.
                 self.cleared.insert(digest, now);
                 SuspectChange::None
             }
             SuspectNotice::Ended { life, run, .. } => self.add_end(now, digest, life, run),
-            SuspectNotice::Refused { left, .. } => self.note_kept(now, digest, left),
+            SuspectNotice::Refused { left, .. } => self.record_quarantine(now, digest, left),
         }
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// The request has come; the time for which it is refused from now on, if it is.
-    pub fn note_coming(&mut self, now: Moment, digest: RequestDigest) -> Option<Duration> {
+    pub fn record_arrival(&mut self, now: Moment, digest: RequestDigest) -> Option<Duration> {
         let suspect = self.suspects.get_mut(&digest)?;
         if !suspect.is_refused(now) {
             return None;
@@ -251,16 +251,16 @@
     }
 
     /// Forgets what is too old to matter.
-    pub fn forget_old(&mut self, now: Moment) {
-        let old = self.suspects.iter().filter(|(_, suspect)| !suspect.is_kept(now));
+    pub fn remove_expired(&mut self, now: Moment) {
+        let old = self.suspects.iter().filter(|(_, suspect)| !suspect.is_current(now));
         let old: Vec<RequestDigest> = old.map(|(digest, _)| *digest).collect();
-        old.into_iter().for_each(|digest| self.drop_suspect(digest));
-        self.cleared.retain(|_, at| now.since(*at) <= ECHO_TIME);
-        self.sound.forget_old(now);
+        old.into_iter().for_each(|digest| self.remove_suspect(digest));
+        self.cleared.retain(|_, at| now.since(*at) <= STALE_NOTICE_TIME);
+        self.completed.remove_expired(now);
     }
 
-    fn is_echo(&self, now: Moment, digest: RequestDigest) -> bool {
-        self.cleared.get(&digest).is_some_and(|at| now.since(*at) <= ECHO_TIME)
+    fn is_stale(&self, now: Moment, digest: RequestDigest) -> bool {
+        self.cleared.get(&digest).is_some_and(|at| now.since(*at) <= STALE_NOTICE_TIME)
     }
 
     /// Forgets a suspect, if it is one, and has others told.
@@ -269,7 +269,7 @@
             return SuspectChange::None;
         }
         let was_refused = self.is_refused(now, digest);
-        self.drop_suspect(digest);
+        self.remove_suspect(digest);
         self.cleared.insert(digest, now);
         SuspectChange::Cleared { was_refused }
     }
@@ -279,19 +279,20 @@
         now: Moment,
         digest: RequestDigest,
         life: LifeKey,
-        run: EndedRun,
+        run: ProgressAtEnd,
     ) -> SuspectChange {
         let suspect = self.suspects.entry(digest).or_default();
         let known = suspect.ends.get(&life).copied();
         // What is proved needs no further end, and one who has seen the request begin knows better.
-        if known.is_some_and(|known| known.run >= run) || suspect.ends.len() >= MOST_ENDS {
+        if known.is_some_and(|known| known.run >= run) || suspect.ends.len() >= QUARANTINE_THRESHOLD
+        {
             return SuspectChange::None;
         }
-        let noted = known.map_or(now, |known| known.noted);
-        suspect.ends.insert(life, NotedEnd { run, noted });
-        let is_new = suspect.is_proved() && !suspect.is_refused(now);
+        let recorded = known.map_or(now, |known| known.recorded);
+        suspect.ends.insert(life, RecordedEnd { run, recorded });
+        let is_new = suspect.meets_threshold() && !suspect.is_refused(now);
         let (seen, lives) = (suspect.seen, suspect.ends.keys().copied().collect());
-        self.touch(now, digest);
+        self.mark_updated(now, digest);
         match is_new {
             true => {
                 let _ = self.refuse(now, digest, now + QUARANTINE_TIME);
@@ -308,39 +309,39 @@
         if was_refused || until <= now {
             return SuspectChange::None;
         }
-        self.touch(now, digest);
-        self.bound_refused(now);
+        self.mark_updated(now, digest);
+        self.evict_excess_quarantined(now);
         SuspectChange::Refused { lives: Vec::new(), seen: false }
     }
 
     /// Something new is known of a suspect; the oldest one goes where there are too many.
-    fn touch(&mut self, now: Moment, digest: RequestDigest) {
+    fn mark_updated(&mut self, now: Moment, digest: RequestDigest) {
         let Some(suspect) = self.suspects.get_mut(&digest) else { return };
-        self.by_age.remove(&(suspect.learnt, digest));
-        suspect.learnt = now;
+        self.by_age.remove(&(suspect.updated, digest));
+        suspect.updated = now;
         self.by_age.insert((now, digest));
-        if self.suspects.len() <= MOST_SUSPECTS {
+        if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
         let oldest = self.by_age.iter().find(|(_, digest)| !self.is_refused(now, *digest));
         if let Some((_, oldest)) = oldest.copied() {
-            self.drop_suspect(oldest);
+            self.remove_suspect(oldest);
         }
     }
 
-    fn bound_refused(&mut self, now: Moment) {
+    fn evict_excess_quarantined(&mut self, now: Moment) {
         let refused = self.refused(now);
-        if refused.len() <= MOST_QUARANTINED {
+        if refused.len() <= MAX_QUARANTINED {
             return;
         }
         if let Some(first) = refused.iter().min_by_key(|one| one.left) {
-            self.drop_suspect(first.digest);
+            self.remove_suspect(first.digest);
         }
     }
 
-    fn drop_suspect(&mut self, digest: RequestDigest) {
+    fn remove_suspect(&mut self, digest: RequestDigest) {
         if let Some(suspect) = self.suspects.remove(&digest) {
-            self.by_age.remove(&(suspect.learnt, digest));
+            self.by_age.remove(&(suspect.updated, digest));
         }
     }
 }
--- a/crates/core/src/direct/suspects/notices.rs
+++ b/crates/core/src/direct/suspects/notices.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-use super::{EndedRun, LifeKey, NotedEnd, Suspect, SuspectTable};
+use super::{LifeKey, ProgressAtEnd, RecordedEnd, Suspect, SuspectTable};
 use crate::{direct::request_digest::RequestDigest, time::Moment};
 
 /// Words told in one notice at most; each takes some twenty bytes.
-pub const MOST_TOLD: usize = 48;
+pub const MAX_NOTICES: usize = 48;
 
 /// Time for which what is new is told in every notice: a dozen of them, of which several may be lost.
-const TELL_TIME: Duration = Duration::from_millis(1200);
+const ANNOUNCE_TIME: Duration = Duration::from_millis(1200);
 
 /// How often what lasts is told again: whoever has started, or was cut off, must know it before the
 /// three seconds are over after which it is held to it.
-const REPEAT_MS: u64 = 1000;
+const REPEAT_INTERVAL_MS: u64 = 1000;
 
 /// Part of that time in which it is told: one notice and a half.
 const REPEAT_WINDOW_MS: u64 = 150;
 
 /// Time between two notices, in which another part is told where there is too much for one.
-const TURN_MS: u64 = 100;
+const ROTATION_MS: u64 = 100;
 
 /// What an entry tells of one suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         /// The life of the server that ended.
         life: LifeKey,
         /// How far the request had come there.
-        run: EndedRun,
+        run: ProgressAtEnd,
     },
     /// The request is refused.
     Refused {
@@ -63,46 +63,56 @@
     /// matters most comes first; of the rest others are told by turns where there is too much.
     pub fn notices(&self, now: Moment) -> Vec<SuspectNotice> {
         let millis = now.micros() / 1000;
-        let repeats = millis % REPEAT_MS < REPEAT_WINDOW_MS;
-        let is_fresh = |at: Moment| now.since(at) <= TELL_TIME;
+        let repeats = millis % REPEAT_INTERVAL_MS < REPEAT_WINDOW_MS;
+        let is_fresh = |at: Moment| now.since(at) <= ANNOUNCE_TIME;
         let cleared = self.cleared.iter().filter(|(_, at)| is_fresh(**at));
-        let cleared = cleared
-            .map(|(digest, _)| (Urgency::Cleared, SuspectNotice::Cleared { digest: *digest }));
-        let mut told: Vec<(Urgency, SuspectNotice)> = cleared.collect();
+        let cleared = cleared.map(|(digest, _)| {
+            (NoticePriority::Cleared, SuspectNotice::Cleared { digest: *digest })
+        });
+        let mut notices: Vec<(NoticePriority, SuspectNotice)> = cleared.collect();
         for (digest, suspect) in &self.suspects {
-            if is_fresh(suspect.learnt) || (repeats && suspect.lasts(now)) {
-                suspect.tell(now, *digest, &mut told);
+            if is_fresh(suspect.updated) || (repeats && suspect.needs_repeating(now)) {
+                suspect.push_notices(now, *digest, &mut notices);
             }
         }
-        let turn = (millis / TURN_MS) as usize * MOST_TOLD;
-        let turn = turn.checked_rem(told.len()).unwrap_or_default();
-        told.rotate_left(turn);
-        told.sort_by_key(|(urgency, _)| *urgency);
-        told.truncate(MOST_TOLD);
-        told.into_iter().map(|(_, notice)| notice).collect()
+        let turn = (millis / ROTATION_MS) as usize * MAX_NOTICES;
+        let turn = turn.checked_rem(notices.len()).unwrap_or_default();
+        notices.rotate_left(turn);
+        notices.sort_by_key(|(priority, _)| *priority);
+        notices.truncate(MAX_NOTICES);
+        notices.into_iter().map(|(_, notice)| notice).collect()
     }
 }
 
 /// What others are to hear first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Urgency {
+enum NoticePriority {
     Refused,
-    NearlyProved,
+    NearThreshold,
     Cleared,
     Suspected,
 }
 
 impl Suspect {
-    fn tell(&self, now: Moment, digest: RequestDigest, told: &mut Vec<(Urgency, SuspectNotice)>) {
+    fn push_notices(
+        &self,
+        now: Moment,
+        digest: RequestDigest,
+        notices: &mut Vec<(NoticePriority, SuspectNotice)>,
+    ) {
         if let Some(until) = self.refused_until.filter(|until| *until > now) {
             let left = Duration::from_secs(until.since(now).as_secs());
-            told.push((Urgency::Refused, SuspectNotice::Refused { digest, left }));
+            notices.push((NoticePriority::Refused, SuspectNotice::Refused { digest, left }));
             return;
         }
-        let urgency = if self.ends.len() > 1 { Urgency::NearlyProved } else { Urgency::Suspected };
-        let ended = |(life, end): (&LifeKey, &NotedEnd)| {
-            (urgency, SuspectNotice::Ended { digest, life: *life, run: end.run })
+        let priority = if self.ends.len() > 1 {
+            NoticePriority::NearThreshold
+        } else {
+            NoticePriority::Suspected
+        };
+        let ended = |(life, end): (&LifeKey, &RecordedEnd)| {
+            (priority, SuspectNotice::Ended { digest, life: *life, run: end.run })
         };
-        told.extend(self.ends.iter().map(ended));
+        notices.extend(self.ends.iter().map(ended));
     }
 }
--- a/crates/core/src/direct/transfer_rate.rs
+++ b/crates/core/src/direct/transfer_rate.rs
@@ -10,14 +10,14 @@
 use crate::time::Moment;
 
 /// Time over which the pace is taken.
-const PACE_WINDOW: Duration = Duration::from_millis(1500);
+const RATE_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Pieces that must have come in that time for the pace to say anything.
-const LEAST_PIECES: u32 = 8;
+const MIN_PIECES: u32 = 8;
 
 /// Part by which a transfer takes longer than its slowest link alone would, in percent: pieces pass several
 /// boxes.
-const DETOUR_PERCENT: u32 = 120;
+const RELAY_OVERHEAD_PERCENT: u32 = 120;
 
 /// Time for the last pieces to spread and to be laid into the stage.
 const SPREAD_TIME: Duration = Duration::from_millis(500);
@@ -50,13 +50,13 @@
 
 impl TransferRate {
     /// Takes in how many pieces of a version are here.
-    pub fn note(&mut self, now: Moment, version: WeightVersion, held: u32) {
+    pub fn record(&mut self, now: Moment, version: WeightVersion, held: u32) {
         if self.version != Some(version) {
             self.version = Some(version);
             self.held.clear();
         }
         self.held.push_back((now, held));
-        while self.held.get(1).is_some_and(|(at, _)| now.since(*at) >= PACE_WINDOW) {
+        while self.held.get(1).is_some_and(|(at, _)| now.since(*at) >= RATE_WINDOW) {
             self.held.pop_front();
         }
     }
@@ -69,16 +69,16 @@
         if missing == 0 {
             return Duration::ZERO;
         }
-        let told = view.piece_time * missing * DETOUR_PERCENT / 100;
-        let seen = self.pace(view.version).map(|piece_time| piece_time * missing);
-        seen.unwrap_or(told).max(view.piece_time * missing) + SPREAD_TIME
+        let predicted = view.piece_time * missing * RELAY_OVERHEAD_PERCENT / 100;
+        let measured = self.piece_interval(view.version).map(|piece_time| piece_time * missing);
+        measured.unwrap_or(predicted).max(view.piece_time * missing) + SPREAD_TIME
     }
 
     /// Time between two pieces lately; none where too few have come.
-    fn pace(&self, version: WeightVersion) -> Option<Duration> {
+    fn piece_interval(&self, version: WeightVersion) -> Option<Duration> {
         let (from, before) = self.held.front().filter(|_| self.version == Some(version))?;
         let (until, after) = self.held.back()?;
-        let came = after.saturating_sub(*before);
-        (came >= LEAST_PIECES).then(|| until.since(*from) / came)
+        let received = after.saturating_sub(*before);
+        (received >= MIN_PIECES).then(|| until.since(*from) / received)
     }
 }
--- a/crates/core/src/direct/weight_deadline.rs
+++ b/crates/core/src/direct/weight_deadline.rs
@@ -15,18 +15,18 @@
 const WORK_RESERVE: Duration = Duration::from_millis(400);
 
 /// Where there is little time to change, the margin is at most one of this many parts of it.
-const LEAST_PARTS: u32 = 4;
+const MARGIN_DIVISOR: u32 = 4;
 
 /// How long older weights are sent requests after a newer version was wanted, where servers have `time`
 /// to change: entries stop then, and agents have their servers changed by then.
-pub fn sending_time(time: Duration) -> Duration {
-    time - START_MARGIN.min(time / LEAST_PARTS)
+pub fn dispatch_time(time: Duration) -> Duration {
+    time - START_MARGIN.min(time / MARGIN_DIVISOR)
 }
 
 #[derive(Debug, Clone)]
 struct Wanted {
     version: WeightVersion,
-    learnt: Moment,
+    learned: Moment,
     /// How long it had been wanted when it was learnt, as others told.
     age: Duration,
 }
@@ -34,7 +34,7 @@
 impl Wanted {
     /// How long it has been wanted.
     fn elapsed(&self, now: Moment) -> Duration {
-        now.since(self.learnt) + self.age
+        now.since(self.learned) + self.age
     }
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// Versions of a model that are remembered.
-const MOST_VERSIONS: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// The wanted versions of each model, oldest first, with the moments at which they were learnt.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
 impl WeightDeadlines {
     /// Takes in a wanted version. Tells whether it is news.
     pub fn learn(&mut self, now: Moment, model: &ModelName, version: WeightVersion) -> bool {
-        self.learn_late(now, model, version, Duration::ZERO)
+        self.learn_with_age(now, model, version, Duration::ZERO)
     }
 
     /// Takes in a wanted version that somebody else has known for `age`, also where it is known
@@ -67,7 +67,7 @@
     ///
     /// An older version than those known is taken in as well. What a server holds may be used until the
     /// first newer version is due, not the newest.
-    pub fn learn_late(
+    pub fn learn_with_age(
         &mut self,
         now: Moment,
         model: &ModelName,
@@ -81,11 +81,11 @@
             return false;
         }
         let place = wanted.partition_point(|one| one.version < version);
-        if place == 0 && wanted.len() == MOST_VERSIONS {
+        if place == 0 && wanted.len() == MAX_VERSIONS {
             return false;
         }
-        wanted.insert(place, Wanted { version, learnt: now, age });
-        if wanted.len() > MOST_VERSIONS {
+        wanted.insert(place, Wanted { version, learned: now, age });
+        if wanted.len() > MAX_VERSIONS {
             wanted.remove(0);
         }
         true
@@ -121,7 +121,7 @@
 
     /// The least version that a request may start on, given the time that servers have to change.
     pub fn least(&self, now: Moment, model: &ModelName, time: Duration) -> Option<WeightVersion> {
-        let due = sending_time(time);
+        let due = dispatch_time(time);
         let wanted = self.models.get(model)?;
         let past = wanted.iter().filter(|one| one.elapsed(now) >= due);
         past.map(|one| one.version).max()
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -125,15 +125,18 @@
     // This process has just started: its own list says nothing of when the version was named.
     weights.learn(at(100), &model(), WeightVersion(2));
     expect_that!(weights.least(at(2_000), &model(), time), none());
-    let news = weights.learn_late(at(1_000), &model(), WeightVersion(2), millis(5_500));
+    let news = weights.learn_with_age(at(1_000), &model(), WeightVersion(2), millis(5_500));
     expect_that!(news, eq(false));
     expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     let left = weights.work_time(at(2_000), &model(), WeightVersion(1), time);
     expect_that!(left, some(eq(millis(1_100))));
     // One that knows it for less long changes nothing, and a newer one is news.
-    weights.learn_late(at(2_000), &model(), WeightVersion(2), millis(10));
+    weights.learn_with_age(at(2_000), &model(), WeightVersion(2), millis(10));
     expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
-    expect_that!(weights.learn_late(at(2_000), &model(), WeightVersion(3), millis(0)), eq(true));
+    expect_that!(
+        weights.learn_with_age(at(2_000), &model(), WeightVersion(3), millis(0)),
+        eq(true)
+    );
 }
 
 #[gtest]
--- a/crates/core/tests/manifest_source.rs
+++ b/crates/core/tests/manifest_source.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use headlatch_core::direct::manifest_source::{
-    FIRST_READERS, MOST_READERS, ManifestSource, ManifestView, manifest_source,
+    INITIAL_READERS, MAX_READERS, ManifestSource, ManifestView, manifest_source,
 };
 
 fn holder(last: u8) -> SocketAddr {
@@ -14,20 +14,20 @@
 fn view(rank: usize, waited_ms: u64) -> ManifestView<'static> {
     ManifestView {
         rank,
-        near_rank: rank / 5,
+        domain_rank: rank / 5,
         is_alone: false,
         steady: Duration::from_secs(60),
         waited: Duration::from_millis(waited_ms),
         failures: 0,
         holders: &[],
-        holders_near: true,
+        holders_in_domain: true,
     }
 }
 
 #[gtest]
 fn few_agents_ask_the_origin_at_once() {
     let asking = (0..76).filter(|rank| manifest_source(&view(*rank, 0)) == ManifestSource::Origin);
-    expect_that!(asking.count(), eq(FIRST_READERS));
+    expect_that!(asking.count(), eq(INITIAL_READERS));
 }
 
 #[gtest]
@@ -63,7 +63,8 @@
 fn few_agents_ask_one_holder_at_once() {
     let holders = [holder(1)];
     let asks = |rank: usize, near: bool, waited_ms: u64| {
-        let view = ManifestView { holders: &holders, holders_near: near, ..view(rank, waited_ms) };
+        let view =
+            ManifestView { holders: &holders, holders_in_domain: near, ..view(rank, waited_ms) };
         matches!(manifest_source(&view), ManifestSource::Peer(_))
     };
     let asking = |near, waited_ms| (0..204).filter(|rank| asks(*rank, near, waited_ms)).count();
@@ -92,7 +93,7 @@
             |rank: &usize| manifest_source(&view(*rank, waited_ms)) == ManifestSource::Origin;
         (0..204).filter(asks).count()
     };
-    expect_that!(reading(1_400), eq(MOST_READERS));
+    expect_that!(reading(1_400), eq(MAX_READERS));
     // Later on those that still lack it come one by one.
     expect_that!(reading(9_000) - reading(8_000), le(10));
 }
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -33,7 +33,7 @@
 
 fn tell(from: &WeightDeadlines, to: &mut WeightDeadlines, now: Moment) {
     for one in from.notices(now, CHANGE_TIME) {
-        to.learn_late(now, &one.model, one.version, one.age);
+        to.learn_with_age(now, &one.model, one.version, one.age);
     }
 }
 
@@ -165,7 +165,7 @@
             };
             if let Some((weights, _)) = newcomers[index].as_mut().filter(|_| !lost) {
                 for one in told {
-                    weights.learn_late(at(now), &one.model, one.version, one.age);
+                    weights.learn_with_age(at(now), &one.model, one.version, one.age);
                 }
             }
         }
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -9,7 +9,7 @@
             GivenOrder, StageState, StageStep, StageView, TurnView, VersionChoice, has_turn,
             next_step, next_version,
         },
-        weight_deadline::sending_time,
+        weight_deadline::dispatch_time,
     },
     time::Moment,
 };
@@ -210,7 +210,7 @@
     let waits = |rank| TurnView { rank, done: false, ready: true, changing: false };
     let others: Vec<TurnView> = (0..75).map(waits).collect();
     for time in [millis(8000), millis(10_000), millis(13_400)] {
-        let stop = sending_time(time);
+        let stop = dispatch_time(time);
         expect_that!(has_turn(75, true, stop, time, &others), eq(true), "{time:?}");
         expect_that!(has_turn(75, true, stop - millis(200), time, &others), eq(true), "{time:?}");
         expect_that!(has_turn(75, true, stop - millis(4000), time, &others), eq(false), "{time:?}");
@@ -220,8 +220,8 @@
 /// What lies before older weights' end answers a fixed cause, and so is a time and no share.
 #[gtest]
 fn older_weights_are_sent_requests_until_a_fixed_time_before_the_end() {
-    expect_that!(sending_time(millis(8000)), eq(millis(6400)));
-    expect_that!(sending_time(millis(13_400)), eq(millis(11_800)));
+    expect_that!(dispatch_time(millis(8000)), eq(millis(6400)));
+    expect_that!(dispatch_time(millis(13_400)), eq(millis(11_800)));
     // Where hardly any time is given, three quarters of it are kept.
-    expect_that!(sending_time(millis(2000)), eq(millis(1500)));
+    expect_that!(dispatch_time(millis(2000)), eq(millis(1500)));
 }
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use headlatch_core::{
     direct::suspects::{
-        EndedRun, LifeKey, MOST_QUARANTINED, MOST_SUSPECTS, MOST_TOLD, QUARANTINE_TIME,
+        LifeKey, MAX_NOTICES, MAX_QUARANTINED, MAX_SUSPECTS, ProgressAtEnd, QUARANTINE_TIME,
         SuspectChange, SuspectNotice, SuspectTable,
     },
     time::Moment,
@@ -19,19 +19,19 @@
     Moment::from_micros(millis * 1000)
 }
 
-fn end(table: &mut SuspectTable, millis: u64, digest: u64, life: u32, run: EndedRun) -> bool {
-    let change = table.note_end(at(millis), RequestDigest(digest), LifeKey(life), run);
+fn end(table: &mut SuspectTable, millis: u64, digest: u64, life: u32, run: ProgressAtEnd) -> bool {
+    let change = table.record_server_end(at(millis), RequestDigest(digest), LifeKey(life), run);
     matches!(change, SuspectChange::Refused { .. })
 }
 
 fn silent(table: &mut SuspectTable, millis: u64, digest: u64, life: u32) -> bool {
-    end(table, millis, digest, life, EndedRun::Silent)
+    end(table, millis, digest, life, ProgressAtEnd::NoOutput)
 }
 
 /// Tells everything that `from` has to tell.
 fn tell(from: &SuspectTable, to: &mut SuspectTable, millis: u64) {
     for notice in from.notices(at(millis)) {
-        let _ = to.hear(at(millis), notice);
+        let _ = to.apply(at(millis), notice);
     }
 }
 
@@ -41,16 +41,16 @@
     expect_that!(silent(&mut table, 0, 1, 1), eq(false));
     expect_that!(table.is_refused(at(1), HARMFUL), eq(false));
     expect_that!(silent(&mut table, 300, 1, 2), eq(true));
-    expect_that!(table.note_coming(at(400), HARMFUL), some(eq(QUARANTINE_TIME)));
-    expect_that!(table.note_coming(at(400), RequestDigest(2)), none());
+    expect_that!(table.record_arrival(at(400), HARMFUL), some(eq(QUARANTINE_TIME)));
+    expect_that!(table.record_arrival(at(400), RequestDigest(2)), none());
 }
 
 #[gtest]
 fn one_that_had_brought_a_part_of_its_answer_is_refused_after_three() {
     let mut table = SuspectTable::default();
-    expect_that!(end(&mut table, 0, 1, 1, EndedRun::Begun), eq(false));
+    expect_that!(end(&mut table, 0, 1, 1, ProgressAtEnd::PartialOutput), eq(false));
     expect_that!(silent(&mut table, 300, 1, 2), eq(false));
-    expect_that!(end(&mut table, 600, 1, 3, EndedRun::Begun), eq(true));
+    expect_that!(end(&mut table, 600, 1, 3, ProgressAtEnd::PartialOutput), eq(true));
 }
 
 /// Several entries may see the same end, and hear of it again from others.
@@ -60,8 +60,9 @@
     for millis in 0..50 {
         expect_that!(silent(&mut table, millis, 1, 1), eq(false));
     }
-    let ended = SuspectNotice::Ended { digest: HARMFUL, life: LifeKey(1), run: EndedRun::Silent };
-    expect_that!(table.hear(at(60), ended), eq(&SuspectChange::None));
+    let ended =
+        SuspectNotice::Ended { digest: HARMFUL, life: LifeKey(1), run: ProgressAtEnd::NoOutput };
+    expect_that!(table.apply(at(60), ended), eq(&SuspectChange::None));
     expect_that!(table.is_refused(at(60), HARMFUL), eq(false));
 }
 
@@ -69,7 +70,7 @@
 fn one_run_to_its_end_clears_a_suspect() {
     let mut table = SuspectTable::default();
     silent(&mut table, 0, 1, 1);
-    expect_that!(table.note_whole(at(100), HARMFUL), eq(&SuspectChange::None));
+    expect_that!(table.record_completion(at(100), HARMFUL), eq(&SuspectChange::None));
     // What runs well is no suspect a moment later either, however many servers are lost at once.
     for life in 2..10 {
         expect_that!(silent(&mut table, 200, 1, life), eq(false));
@@ -85,10 +86,10 @@
     silent(&mut table, 0, 1, 1);
     silent(&mut table, 300, 1, 2);
     let half = QUARANTINE_TIME.as_millis() as u64 / 2;
-    expect_that!(table.note_coming(at(half), HARMFUL), some(anything()));
+    expect_that!(table.record_arrival(at(half), HARMFUL), some(anything()));
     expect_that!(table.is_refused(at(half * 2 + 1000), HARMFUL), eq(true));
-    expect_that!(table.note_coming(at(half * 3 + 1000), HARMFUL), none());
-    table.forget_old(at(half * 3 + 1000));
+    expect_that!(table.record_arrival(at(half * 3 + 1000), HARMFUL), none());
+    table.remove_expired(at(half * 3 + 1000));
     expect_that!(table.is_empty(), eq(true));
 }
 
@@ -101,15 +102,15 @@
     for number in 0..20_000 {
         silent(&mut table, 301 + number / 10, 100 + number, number as u32);
     }
-    expect_that!(table.len(), le(MOST_SUSPECTS));
+    expect_that!(table.len(), le(MAX_SUSPECTS));
     expect_that!(table.is_refused(at(3000), HARMFUL), eq(true));
     for number in 0..1_000 {
         silent(&mut table, 4000, 100_000 + number, 1);
         silent(&mut table, 4300 + number, 100_000 + number, 2);
     }
-    expect_that!(table.refused(at(6000)).len(), le(MOST_QUARANTINED));
+    expect_that!(table.refused(at(6000)).len(), le(MAX_QUARANTINED));
     expect_that!(table.is_refused(at(6000), RequestDigest(100_999)), eq(true), "the newest");
-    expect_that!(table.notices(at(6000)).len(), le(MOST_TOLD));
+    expect_that!(table.notices(at(6000)).len(), le(MAX_NOTICES));
 }
 
 #[gtest]
@@ -152,8 +153,8 @@
 fn counts_are_joined_after_a_cut() {
     let (mut here, mut there) = (SuspectTable::default(), SuspectTable::default());
     for (life, table) in [(1, &mut here), (2, &mut there)] {
-        end(table, 0, 1, life, EndedRun::Begun);
-        end(table, 100, 1, life + 10, EndedRun::Begun);
+        end(table, 0, 1, life, ProgressAtEnd::PartialOutput);
+        end(table, 100, 1, life + 10, ProgressAtEnd::PartialOutput);
     }
     expect_that!(here.is_refused(at(6000), HARMFUL), eq(false));
     for millis in (6000..7100).step_by(100) {
@@ -169,7 +170,7 @@
 #[gtest]
 fn a_page_that_ran_well_somewhere_is_served_on_everywhere() {
     let (mut knows, mut accuses) = (SuspectTable::default(), SuspectTable::default());
-    let _ = knows.note_whole(at(0), HARMFUL);
+    let _ = knows.record_completion(at(0), HARMFUL);
     for life in 1..4 {
         silent(&mut accuses, 1000, 1, life);
     }
@@ -180,7 +181,7 @@
     expect_that!(accuses.is_refused(at(1200), HARMFUL), eq(false));
     // Old word of it that comes round again is not believed.
     let refused = SuspectNotice::Refused { digest: HARMFUL, left: QUARANTINE_TIME };
-    expect_that!(accuses.hear(at(1300), refused), eq(&SuspectChange::None));
+    expect_that!(accuses.apply(at(1300), refused), eq(&SuspectChange::None));
 }
 
 #[gtest]
@@ -228,10 +229,10 @@
     }
 
     /// A server ends: every request that it had is a suspect at the entry that sent it.
-    fn end_server(&mut self, now: Moment, requests: &[(usize, RequestDigest, EndedRun)]) {
+    fn end_server(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
         self.lives += 1;
         for (entry, digest, run) in requests {
-            let _ = self.entries[*entry].note_end(now, *digest, LifeKey(self.lives), *run);
+            let _ = self.entries[*entry].record_server_end(now, *digest, LifeKey(self.lives), *run);
         }
     }
 
@@ -241,7 +242,7 @@
             for notice in self.entries[from].notices(now) {
                 for to in 0..self.entries.len() {
                     if to != from && self.rng.random_bool(0.9) {
-                        let _ = self.entries[to].hear(now, notice);
+                        let _ = self.entries[to].apply(now, notice);
                     }
                 }
             }
@@ -250,18 +251,18 @@
 
     /// Sound requests that were in progress are tried again at the same entry; `ends` of them meet
     /// another end.
-    fn try_again(&mut self, now: Moment, requests: &[(usize, RequestDigest, EndedRun)]) {
+    fn try_again(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
         for (entry, digest, _) in requests {
             self.sound += 1;
             if self.entries[*entry].is_refused(now, *digest) {
                 self.refused += 1;
             } else {
-                let _ = self.entries[*entry].note_whole(now, *digest);
+                let _ = self.entries[*entry].record_completion(now, *digest);
             }
         }
     }
 
-    fn sound_requests(&mut self) -> Vec<(usize, RequestDigest, EndedRun)> {
+    fn sound_requests(&mut self) -> Vec<(usize, RequestDigest, ProgressAtEnd)> {
         let count = self.entries.len();
         let mut request = || {
             let run = self.run();
@@ -271,8 +272,12 @@
     }
 
     /// One request in five waits for its first event.
-    fn run(&mut self) -> EndedRun {
-        if self.rng.random_bool(0.8) { EndedRun::Begun } else { EndedRun::Silent }
+    fn run(&mut self) -> ProgressAtEnd {
+        if self.rng.random_bool(0.8) {
+            ProgressAtEnd::PartialOutput
+        } else {
+            ProgressAtEnd::NoOutput
+        }
     }
 }
 
@@ -293,14 +298,14 @@
             let entry = world.rng.random_range(0..7);
             let mut again = Vec::new();
             for _ in 0..2 {
-                if world.entries[entry].note_coming(now, HARMFUL).is_some() {
+                if world.entries[entry].record_arrival(now, HARMFUL).is_some() {
                     break;
                 }
                 world.harmful_ends += 1;
                 let mut requests = world.sound_requests();
                 requests.truncate(BESIDE - again.len());
                 requests.append(&mut again);
-                requests.push((entry, HARMFUL, EndedRun::Silent));
+                requests.push((entry, HARMFUL, ProgressAtEnd::NoOutput));
                 world.end_server(now, &requests);
                 requests.pop();
                 again = requests.split_off(BESIDE * 8 / 10);
--- a/crates/core/tests/transfer_rate.rs
+++ b/crates/core/tests/transfer_rate.rs
@@ -25,7 +25,7 @@
 fn going(pause: u64, pieces: u32) -> TransferRate {
     let mut rate = TransferRate::default();
     for held in 0..=pieces {
-        rate.note(at(u64::from(held) * pause), WeightVersion(2), held);
+        rate.record(at(u64::from(held) * pause), WeightVersion(2), held);
     }
     rate
 }
@@ -47,7 +47,7 @@
 #[gtest]
 fn an_outage_leaves_what_the_links_take_from_now_on() {
     let mut rate = going(45, 40);
-    (0..100).for_each(|tick| rate.note(at(1800 + 60 * tick), WeightVersion(2), 40));
+    (0..100).for_each(|tick| rate.record(at(1800 + 60 * tick), WeightVersion(2), 40));
     expect_that!(rate.time_left(&view(2, 40)), le(Duration::from_millis(56 * 54 + 500)));
 }
 
--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -291,7 +291,7 @@
     fn learn_wanted(&self, model: &ModelName, version: WeightVersion, age: Duration) {
         let mut wanted = lock(&self.wanted);
         let before = wanted.newest(model);
-        if !wanted.learn_late(self.node.now(), model, version, age) {
+        if !wanted.learn_with_age(self.node.now(), model, version, age) {
             return;
         }
         drop(wanted);
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -8,7 +8,7 @@
             ChosenServer, EngineQuery, FullServers, ServerChoice, ServerOutcome, ServerQuery,
         },
         shedding::{NewRequest, RequestLot},
-        suspects::{EndedRun, QUARANTINE_TIME},
+        suspects::{ProgressAtEnd, QUARANTINE_TIME},
     },
     time::Moment,
 };
@@ -310,7 +310,7 @@
             self.arrivals -= u32::from(!failure.arrived);
             self.runs -= u32::from(failure.verdict == RunVerdict::NotRun);
             if failure.is_break() {
-                self.note_break(&server, EndedRun::Silent).await;
+                self.note_break(&server, ProgressAtEnd::NoOutput).await;
             }
         }
         sent
@@ -318,7 +318,7 @@
 
     /// Finds out what it means that a server broke off while it had this request, of which it had
     /// brought what `run` says.
-    pub async fn note_break(&self, server: &ChosenServer, run: EndedRun) {
+    pub async fn note_break(&self, server: &ChosenServer, run: ProgressAtEnd) {
         if !server_end::has_ended(&self.state, server).await {
             return;
         }
--- a/crates/daemon/src/direct/exchange/collect.rs
+++ b/crates/daemon/src/direct/exchange/collect.rs
@@ -1,6 +1,6 @@
 //! Answers that are not streams: read whole before anything of them is passed on.
 
-use headlatch_core::direct::{server_table::ServerOutcome, suspects::EndedRun};
+use headlatch_core::direct::{server_table::ServerOutcome, suspects::ProgressAtEnd};
 use headlatch_types::RunVerdict;
 use http::{Response, header};
 use http_body::Body;
@@ -40,7 +40,7 @@
                 in_flight.end(ServerOutcome::Lost);
                 let detail = match other {
                     Ok(Err(error)) => {
-                        self.note_break(&server, EndedRun::Begun).await;
+                        self.note_break(&server, ProgressAtEnd::PartialOutput).await;
                         error.to_string()
                     }
                     _ => "it did not end in time".to_owned(),
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -13,7 +13,7 @@
     peers::{DomainKey, DrainNotice, LoadNotice, PeerKind, PeerNotice, ServerNotice, WantedNotice},
     rate_limits::LimitNotice,
     request_digest::RequestDigest,
-    suspects::{EndedRun, LifeKey, SuspectNotice},
+    suspects::{LifeKey, ProgressAtEnd, SuspectNotice},
 };
 use headlatch_types::{quantity::RequestRate, traffic::WeightVersion};
 use headlatch_wire as wire;
@@ -85,7 +85,7 @@
     let told = wire::NoticeSuspect { digest, ..wire::NoticeSuspect::default() };
     match *notice {
         SuspectNotice::Ended { life, run, .. } => {
-            let word = if run == EndedRun::Silent { ENDED_SILENT } else { ENDED_BEGUN };
+            let word = if run == ProgressAtEnd::NoOutput { ENDED_SILENT } else { ENDED_BEGUN };
             wire::NoticeSuspect { word, life: life.0, ..told }
         }
         SuspectNotice::Refused { left, .. } => {
@@ -99,8 +99,8 @@
 fn decode_suspect(told: &wire::NoticeSuspect) -> Option<SuspectNotice> {
     let (digest, life) = (RequestDigest(told.digest), LifeKey(told.life));
     Some(match told.word {
-        ENDED_SILENT => SuspectNotice::Ended { digest, life, run: EndedRun::Silent },
-        ENDED_BEGUN => SuspectNotice::Ended { digest, life, run: EndedRun::Begun },
+        ENDED_SILENT => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::NoOutput },
+        ENDED_BEGUN => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::PartialOutput },
         REFUSED => SuspectNotice::Refused { digest, left: Duration::from_secs(told.left_s.into()) },
         CLEARED => SuspectNotice::Cleared { digest },
         // A newer process may tell what this one does not know.
--- a/crates/daemon/src/direct/quarantine.rs
+++ b/crates/daemon/src/direct/quarantine.rs
@@ -9,8 +9,8 @@
     direct::{
         request_digest::{RequestDigest, RequestDigests},
         suspects::{
-            EndedRun, LifeKey, QUARANTINE_TIME, QuarantinedRequest, SuspectChange, SuspectNotice,
-            SuspectTable,
+            LifeKey, ProgressAtEnd, QUARANTINE_TIME, QuarantinedRequest, SuspectChange,
+            SuspectNotice, SuspectTable,
         },
     },
     time::Moment,
@@ -51,7 +51,7 @@
     /// A request comes; the time for which it is refused, if it is.
     pub fn note_coming(&self, now: Moment, digests: &RequestDigests) -> Option<Duration> {
         let mut table = self.table();
-        digests.iter().filter_map(|digest| table.note_coming(now, digest)).max()
+        digests.iter().filter_map(|digest| table.record_arrival(now, digest)).max()
     }
 
     /// Whether a request is refused.
@@ -72,9 +72,15 @@
     }
 
     /// A server has ended while this entry had a request there.
-    pub fn note_end(&self, now: Moment, digests: &RequestDigests, life: LifeKey, run: EndedRun) {
+    pub fn note_end(
+        &self,
+        now: Moment,
+        digests: &RequestDigests,
+        life: LifeKey,
+        run: ProgressAtEnd,
+    ) {
         for digest in digests.iter() {
-            let change = self.table().note_end(now, digest, life, run);
+            let change = self.table().record_server_end(now, digest, life, run);
             self.take(digest, change, "ends");
         }
     }
@@ -82,7 +88,7 @@
     /// A request has run to its end.
     pub fn note_whole(&self, now: Moment, digests: &RequestDigests) {
         for digest in digests.iter() {
-            let change = self.table().note_whole(now, digest);
+            let change = self.table().record_completion(now, digest);
             self.take(digest, change, "whole_answer");
         }
     }
@@ -90,14 +96,14 @@
     /// Takes in what another entry tells.
     pub fn hear(&self, now: Moment, notices: &[SuspectNotice]) {
         for notice in notices {
-            let change = self.table().hear(now, *notice);
+            let change = self.table().apply(now, *notice);
             self.take(notice.digest(), change, "peer");
         }
     }
 
     /// Takes in what the store has kept.
     pub fn note_kept(&self, now: Moment, digest: RequestDigest, left: Duration) {
-        let change = self.table().note_kept(now, digest, left);
+        let change = self.table().record_quarantine(now, digest, left);
         self.take(digest, change, "store");
     }
 
@@ -121,7 +127,7 @@
 
     /// Forgets what is too old to matter.
     pub fn forget_old(&self, now: Moment) {
-        self.table().forget_old(now);
+        self.table().remove_expired(now);
     }
 
     /// What is to be written to the store next.
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -12,7 +12,7 @@
         event_split::{EventSplitter, StreamEvent},
         server_table::{ChosenServer, ServerOutcome},
         stream_timing::StreamTiming,
-        suspects::EndedRun,
+        suspects::ProgressAtEnd,
         time_limit::LimitedTime,
     },
     time::Moment,
@@ -78,8 +78,8 @@
     }
 
     /// How far the answer had come when the server ended.
-    fn ended_run(&self) -> EndedRun {
-        if self.brought { EndedRun::Begun } else { EndedRun::Silent }
+    fn ended_run(&self) -> ProgressAtEnd {
+        if self.brought { ProgressAtEnd::PartialOutput } else { ProgressAtEnd::NoOutput }
     }
 
     /// The next bytes, or how the stream has ended.
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -12,7 +12,7 @@
             EngineLife, GivenOrder, StageStep, StageView, VersionChoice, next_step, next_version,
         },
         transfer_rate::{TransferRate, TransferView},
-        weight_deadline::{WantedVersion, sending_time},
+        weight_deadline::{WantedVersion, dispatch_time},
     },
     time::Moment,
 };
@@ -219,7 +219,7 @@
         let choices: Vec<VersionChoice> = missing
             .map(|one| VersionChoice {
                 version: one.version,
-                due: now + sending_time(time) - one.elapsed,
+                due: now + dispatch_time(time) - one.elapsed,
                 transfer: self.transfer_time(one.version),
             })
             .collect();
@@ -250,7 +250,7 @@
     fn note_rate(&mut self) {
         let Some(work) = &self.work else { return };
         let now = self.state.node.now();
-        self.rate.note(now, work.pieces.version, work.swarm.held() as u32);
+        self.rate.record(now, work.pieces.version, work.swarm.held() as u32);
     }
 
     fn service(&self) -> Option<&str> {
@@ -363,13 +363,13 @@
         let readers = seats::manifest_readers(&self.state, version);
         manifest_source(&ManifestView {
             rank: readers.rank,
-            near_rank: readers.near_rank,
+            domain_rank: readers.near_rank,
             steady: readers.steady,
             is_alone: readers.is_alone,
             waited: now.since(since),
             failures: self.manifest_failures,
             holders: &readers.holders,
-            holders_near: readers.holders_near,
+            holders_in_domain: readers.holders_near,
         })
     }
 
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -349,7 +349,7 @@
     pub fn hear_wanted(&self, wanted: &[WantedNotice]) {
         let now = self.now();
         for one in wanted {
-            if self.weights().learn_late(now, &one.model, one.version, one.age) {
+            if self.weights().learn_with_age(now, &one.model, one.version, one.age) {
                 let age_ms = one.age.as_millis() as u64;
                 let fields =
                     json!({ "model": one.model, "version": one.version, "age_ms": age_ms });
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -12,7 +12,7 @@
             DomainKey, LoadNotice, NAMED_PEERS, PeerKind, PeerNotice, PeerTable, WantedNotice,
         },
         rate_limits::{LimitNotice, MOST_LIMITS},
-        suspects::{EndedRun, LifeKey, MOST_TOLD, SuspectNotice},
+        suspects::{LifeKey, MAX_NOTICES, ProgressAtEnd, SuspectNotice},
     },
     time::Moment,
 };
@@ -152,11 +152,8 @@
 /// A word of each kind on requests under which servers ended.
 fn suspects() -> Vec<SuspectNotice> {
     let digest = RequestDigest(u64::MAX - 5);
-    let ended = [EndedRun::Silent, EndedRun::Begun].map(|run| SuspectNotice::Ended {
-        digest,
-        life: LifeKey(0xfeed),
-        run,
-    });
+    let ended = [ProgressAtEnd::NoOutput, ProgressAtEnd::PartialOutput]
+        .map(|run| SuspectNotice::Ended { digest, life: LifeKey(0xfeed), run });
     let left = Duration::from_secs(599);
     let others = [SuspectNotice::Refused { digest, left }, SuspectNotice::Cleared { digest }];
     [ended, others].concat()
@@ -165,7 +162,7 @@
 /// Every entry tells at once of the requests of all servers that were lost in one moment.
 #[gtest]
 fn words_of_many_suspects_fit_in_a_notice_beside_everything_else() {
-    let suspects = suspects().into_iter().cycle().take(MOST_TOLD).collect();
+    let suspects = suspects().into_iter().cycle().take(MAX_NOTICES).collect();
     let notice = PeerNotice { suspects, ..living(PeerKind::Entry, FAR, 3) };
     expect_that!(encode(&notice).len(), lt(MOST_DATAGRAM / 6));
 }
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -12,7 +12,7 @@
     direct::{
         peers::{DomainKey, DrainNotice, PeerKind, PeerNotice, PeerTable, ServerNotice},
         relays::{HeardRelays, RELAYS},
-        suspects::{EndedRun, LifeKey, SuspectTable},
+        suspects::{LifeKey, ProgressAtEnd, SuspectTable},
     },
     time::Moment,
 };
@@ -184,7 +184,7 @@
 
     fn hear_suspects(&mut self, now: Moment, notice: &PeerNotice) {
         for suspect in &notice.suspects {
-            let _ = self.suspects.hear(now, *suspect);
+            let _ = self.suspects.apply(now, *suspect);
         }
     }
 
@@ -515,7 +515,7 @@
             let nth = world.index[&address(domain, 9)];
             let (now, life) = (world.now, LifeKey(life));
             let suspects = &mut world.processes[nth].suspects;
-            let _ = suspects.note_end(now, digest, life, EndedRun::Silent);
+            let _ = suspects.record_server_end(now, digest, life, ProgressAtEnd::NoOutput);
             world.run(Duration::from_millis(400));
         }
         world.run(Duration::from_millis(800));
