--- a/crates/client/src/commands/shares.rs
+++ b/crates/client/src/commands/shares.rs
@@ -132,7 +132,7 @@
     let mut shares = RouteShares { route, ..RouteShares::default() };
     for (index, fate) in fates.iter().enumerate() {
         let larger = (fates.len() - 1 - index) as f64 / fates.len() as f64;
-        let class = SizeClass::with_larger(larger).as_str();
+        let class = SizeClass::from_share_above(larger).as_str();
         shares.all.add(fate);
         shares.sizes.entry(class).or_default().add(fate);
     }
--- a/crates/core/src/direct/engine_model.rs
+++ b/crates/core/src/direct/engine_model.rs
@@ -8,16 +8,16 @@
 use headlatch_types::traffic::EngineFigures;
 
 /// Longer reading of prompts while other requests write in between, relative to reading alone.
-const READING_SHARE: f64 = 1.5;
+const PREFILL_SLOWDOWN: f64 = 1.5;
 
 /// Longer writing of answers while prompts are read in between, relative to writing alone.
-const WRITING_SHARE: f64 = 1.7;
+const DECODE_SLOWDOWN: f64 = 1.7;
 
 /// Prompt tokens where neither the request nor the plan says.
-const UNKNOWN_PROMPT: u64 = 800;
+const DEFAULT_PROMPT_TOKENS: u64 = 800;
 
 /// Answer tokens where neither the request nor the plan says.
-const UNKNOWN_ANSWER: u64 = 100;
+const DEFAULT_ANSWER_TOKENS: u64 = 100;
 
 /// What an engine has to do, as far as is known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -57,49 +57,53 @@
 
 fn usual_prompt(figures: &EngineFigures) -> u64 {
     match figures.usual_prompt {
-        0 => UNKNOWN_PROMPT,
+        0 => DEFAULT_PROMPT_TOKENS,
         tokens => tokens,
     }
 }
 
 /// Time in which an engine reads a prompt of `tokens` while others write.
-fn reading(figures: &EngineFigures, tokens: u64) -> f64 {
+fn prefill_time(figures: &EngineFigures, tokens: u64) -> f64 {
     match figures.read_per_second > 0.0 {
-        true => tokens as f64 / figures.read_per_second * READING_SHARE,
+        true => tokens as f64 / figures.read_per_second * PREFILL_SLOWDOWN,
         false => 0.0,
     }
 }
 
 /// Time in which an engine reads a usual prompt while others write.
-pub fn usual_reading(figures: &EngineFigures) -> Duration {
-    Duration::from_secs_f64(reading(figures, usual_prompt(figures)))
+pub fn usual_prefill_time(figures: &EngineFigures) -> Duration {
+    Duration::from_secs_f64(prefill_time(figures, usual_prompt(figures)))
 }
 
 /// Time until the first token of `work` comes from an engine with `load`.
-pub fn first_token(figures: &EngineFigures, load: EngineLoad, work: EngineWork) -> Duration {
-    let reading = reading(figures, load.waiting_tokens + work.prompt);
+pub fn time_to_first_token(
+    figures: &EngineFigures,
+    load: EngineLoad,
+    work: EngineWork,
+) -> Duration {
+    let prefill_time = prefill_time(figures, load.waiting_tokens + work.prompt);
     let pass = figures.step_ms * f64::from(figures.stride.max(1)) / 1e3;
-    let beyond = (load.in_flight + 1).saturating_sub(figures.slots.max(1));
-    let waiting = slot_time(figures) * f64::from(beyond);
-    Duration::from_secs_f64(reading + pass + waiting)
+    let queued = (load.in_flight + 1).saturating_sub(figures.slots.max(1));
+    let slot_wait = slot_time(figures) * f64::from(queued);
+    Duration::from_secs_f64(prefill_time + pass + slot_wait)
 }
 
 /// Time until a whole answer of up to `tokens` has come from an engine whose first token is predicted
 /// after `first`; of a usual answer where `tokens` is not known.
-pub fn whole_answer(figures: &EngineFigures, first: Duration, tokens: Option<u64>) -> Duration {
+pub fn completion_time(figures: &EngineFigures, first: Duration, tokens: Option<u64>) -> Duration {
     let tokens = tokens.unwrap_or(usual_answer(figures));
-    first + Duration::from_secs_f64(tokens as f64 * figures.step_ms * WRITING_SHARE / 1e3)
+    first + Duration::from_secs_f64(tokens as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3)
 }
 
 fn usual_answer(figures: &EngineFigures) -> u64 {
     match figures.usual_answer {
-        0 => UNKNOWN_ANSWER,
+        0 => DEFAULT_ANSWER_TOKENS,
         tokens => tokens,
     }
 }
 
 /// Time after which one of the slots of a full engine comes free, in seconds.
 fn slot_time(figures: &EngineFigures) -> f64 {
-    let running = usual_answer(figures) as f64 * figures.step_ms * WRITING_SHARE / 1e3;
+    let running = usual_answer(figures) as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3;
     running / f64::from(figures.slots.max(1))
 }
--- a/crates/core/src/direct/event_split.rs
+++ b/crates/core/src/direct/event_split.rs
@@ -15,35 +15,35 @@
 /// Splits bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
+    pending: Vec<u8>,
     /// Bytes of the rest in which no end has been found.
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
     /// Takes in bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<StreamEvent> {
-        self.rest.extend_from_slice(bytes);
+        self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = find_end(&self.rest, self.searched.saturating_sub(3)) {
-            let after = self.rest.split_off(end);
-            let bytes = std::mem::replace(&mut self.rest, after);
-            self.searched = 0;
+        while let Some(end) = find_end(&self.pending, self.scanned.saturating_sub(3)) {
+            let after = self.pending.split_off(end);
+            let bytes = std::mem::replace(&mut self.pending, after);
+            self.scanned = 0;
             events.push(StreamEvent { id: event_id(&bytes), bytes });
         }
-        self.searched = self.rest.len();
+        self.scanned = self.pending.len();
         events
     }
 
     /// Bytes of an event that has begun and has not ended.
     pub fn rest(&self) -> &[u8] {
-        &self.rest
+        &self.pending
     }
 
     /// Forgets an event that has begun.
     pub fn clear(&mut self) {
-        self.rest.clear();
-        self.searched = 0;
+        self.pending.clear();
+        self.scanned = 0;
     }
 }
 
--- a/crates/core/src/direct/request_digest.rs
+++ b/crates/core/src/direct/request_digest.rs
@@ -33,13 +33,13 @@
     /// Both digests of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
-        add_part(&mut hasher, content.caller.map(str::as_bytes));
+        hash_part(&mut hasher, content.caller.map(str::as_bytes));
         let parts = [content.method, content.host, content.path].map(str::as_bytes);
-        parts.into_iter().for_each(|part| add_part(&mut hasher, Some(part)));
-        add_part(&mut hasher, Some(content.body));
-        let without_query = short(&hasher);
-        add_part(&mut hasher, content.query.map(str::as_bytes));
-        let whole = if content.query.is_some() { short(&hasher) } else { without_query };
+        parts.into_iter().for_each(|part| hash_part(&mut hasher, Some(part)));
+        hash_part(&mut hasher, Some(content.body));
+        let without_query = truncated_digest(&hasher);
+        hash_part(&mut hasher, content.query.map(str::as_bytes));
+        let whole = if content.query.is_some() { truncated_digest(&hasher) } else { without_query };
         Self { whole, without_query }
     }
 
@@ -52,13 +52,13 @@
 
 /// Adds a part with its length, so that parts cannot run into each other; an absent one differs from
 /// an empty one.
-fn add_part(hasher: &mut blake3::Hasher, part: Option<&[u8]>) {
+fn hash_part(hasher: &mut blake3::Hasher, part: Option<&[u8]>) {
     let length = part.map_or(u64::MAX, |part| part.len() as u64);
     hasher.update(&length.to_le_bytes());
     hasher.update(part.unwrap_or_default());
 }
 
-fn short(hasher: &blake3::Hasher) -> RequestDigest {
+fn truncated_digest(hasher: &blake3::Hasher) -> RequestDigest {
     let hash = hasher.finalize();
     let (first, _) = hash.as_bytes().split_first_chunk().expect("a hash has 32 bytes");
     RequestDigest(u64::from_be_bytes(*first))
--- a/crates/core/src/direct/server_table/choice.rs
+++ b/crates/core/src/direct/server_table/choice.rs
@@ -14,8 +14,8 @@
 };
 use crate::{
     direct::{
-        engine_model::{EngineLoad, EngineWork, first_token},
-        shedding::EngineRoom,
+        engine_model::{EngineLoad, EngineWork, time_to_first_token},
+        shedding::EngineHeadroom,
         suspects::LifeKey,
     },
     time::Moment,
@@ -128,13 +128,13 @@
 
 impl ServerChoice {
     /// What the engines that might be chosen have room for.
-    pub fn engine_room(&self) -> EngineRoom {
+    pub fn engine_headroom(&self) -> EngineHeadroom {
         match self {
             Self::Server(server) => {
-                server.least_load.map_or(EngineRoom::Unusable, EngineRoom::Best)
+                server.least_load.map_or(EngineHeadroom::Unusable, EngineHeadroom::Best)
             }
-            Self::Full(full) => full.least_load.map_or(EngineRoom::Full, EngineRoom::Best),
-            Self::Nobody => EngineRoom::Unusable,
+            Self::Full(full) => full.least_load.map_or(EngineHeadroom::Full, EngineHeadroom::Best),
+            Self::Nobody => EngineHeadroom::Unusable,
         }
     }
 }
@@ -305,7 +305,7 @@
     }
 
     fn predict(&self, state: &ServerState, engine: EngineQuery<'_>) -> Duration {
-        first_token(engine.figures, self.load(state), engine.work)
+        time_to_first_token(engine.figures, self.load(state), engine.work)
     }
 
     fn cost(
--- a/crates/core/src/direct/size_class.rs
+++ b/crates/core/src/direct/size_class.rs
@@ -12,10 +12,10 @@
 
 /// Sizes of a kind that are remembered: 10 s of a busy entry, and enough that the largest tenth holds
 /// a dozen and more.
-const REMEMBERED: usize = 256;
+const SIZES_PER_KIND: usize = 256;
 
 /// Kinds that are remembered, so that routes which come and go do not add up: 2 MiB of sizes.
-const MOST_KINDS: usize = 1024;
+const MAX_KINDS: usize = 1024;
 
 /// Part of a kind whose requests are larger than one of the largest tenth.
 const LARGEST_TENTH: f64 = 0.1;
@@ -45,7 +45,7 @@
         [Self::LowerHalf, Self::UpperHalf, Self::NextFifth, Self::LargestTenth];
 
     /// The class of a size above which `larger` of its kind stand, from 0 to 1.
-    pub fn with_larger(larger: f64) -> Self {
+    pub fn from_share_above(larger: f64) -> Self {
         match larger {
             share if share < LARGEST_TENTH => Self::LargestTenth,
             share if share < NEXT_FIFTH => Self::NextFifth,
@@ -79,18 +79,18 @@
 
 impl SizeRanks {
     /// Takes in a request's size and tells where it stands within its kind.
-    pub fn note(&mut self, kind: &Arc<str>, size: ByteSize) -> SizeClass {
-        if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(kind) {
+    pub fn record(&mut self, kind: &Arc<str>, size: ByteSize) -> SizeClass {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(kind) {
             self.kinds.clear();
         }
         let sizes = self.kinds.entry(kind.clone()).or_default();
-        if sizes.len() == REMEMBERED {
+        if sizes.len() == SIZES_PER_KIND {
             sizes.pop_front();
         }
         sizes.push_back(size);
         let larger = sizes.iter().filter(|other| **other > size).count() as f64;
         // Itself is one of the equals: half of the others that are as large count as larger.
         let equal = sizes.iter().filter(|other| **other == size).count() as f64 - 1.0;
-        SizeClass::with_larger((larger + equal / 2.0) / sizes.len() as f64)
+        SizeClass::from_share_above((larger + equal / 2.0) / sizes.len() as f64)
     }
 }
--- a/crates/core/src/direct/time_limit.rs
+++ b/crates/core/src/direct/time_limit.rs
@@ -30,7 +30,7 @@
     }
 
     /// The shorter of this and `other`; this one where they are equal.
-    pub fn least(self, other: Option<Self>) -> Self {
+    pub fn shorter(self, other: Option<Self>) -> Self {
         match other {
             Some(other) if other.time < self.time => other,
             _ => self,
--- a/crates/core/src/direct/weight_deadline.rs
+++ b/crates/core/src/direct/weight_deadline.rs
@@ -120,7 +120,12 @@
     }
 
     /// The least version that a request may start on, given the time that servers have to change.
-    pub fn least(&self, now: Moment, model: &ModelName, time: Duration) -> Option<WeightVersion> {
+    pub fn min_version(
+        &self,
+        now: Moment,
+        model: &ModelName,
+        time: Duration,
+    ) -> Option<WeightVersion> {
         let due = dispatch_time(time);
         let wanted = self.models.get(model)?;
         let past = wanted.iter().filter(|one| one.elapsed(now) >= due);
--- a/crates/core/tests/allowed_regions.rs
+++ b/crates/core/tests/allowed_regions.rs
@@ -12,7 +12,7 @@
         ContinuationLimits, EngineQuery, ServerChoice, ServerOutcome, ServerQuery, ServerTable,
         server_key,
     },
-    shedding::{EngineRoom, LoadShedder, NewRequest, RequestLot},
+    shedding::{EngineHeadroom, LoadShedder, NewRequest, ShedRank},
 };
 use headlatch_types::{
     id::{DomainId, RegionId},
@@ -209,15 +209,15 @@
 fn requests_of_a_full_region_are_refused_without_those_that_may_run_anywhere() {
     let (mut shedder, figures) = (LoadShedder::default(), figures());
     let (service, restricted) = ("llm".into(), only(&["r1"]));
-    let full = EngineRoom::Best(EngineLoad { in_flight: 16, waiting_tokens: 40_000 });
-    let free = EngineRoom::Best(EngineLoad { in_flight: 12, waiting_tokens: 0 });
+    let full = EngineHeadroom::Best(EngineLoad { in_flight: 16, waiting_tokens: 40_000 });
+    let free = EngineHeadroom::Best(EngineLoad { in_flight: 12, waiting_tokens: 0 });
     let mut refused = [0, 0];
     for content in 0..2000u64 {
         let both = [(&AllowedRegions::Anywhere, free), (&restricted, full)];
         for (count, (regions, room)) in refused.iter_mut().zip(both) {
-            let lot = RequestLot::new(RequestDigest(content), Duration::from_secs(1_000_000));
+            let rank = ShedRank::new(RequestDigest(content), Duration::from_secs(1_000_000));
             let objective = Duration::from_millis(500);
-            let new = NewRequest { service: &service, regions, figures: &figures, objective, lot };
+            let new = NewRequest { service: &service, regions, figures: &figures, objective, rank };
             *count += usize::from(shedder.refuses(at(content * 5), &new, room).is_some());
         }
     }
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use headlatch_core::{
     direct::{
-        engine_model::{EngineLoad, EngineWork, first_token},
+        engine_model::{EngineLoad, EngineWork, time_to_first_token},
         event_split::EventSplitter,
         fact_age::ChangeMark,
         leaving::LeavingNotice,
@@ -124,15 +124,15 @@
     let mut weights = WeightDeadlines::default();
     // This process has just started: its own list says nothing of when the version was named.
     weights.learn(at(100), &model(), WeightVersion(2));
-    expect_that!(weights.least(at(2_000), &model(), time), none());
+    expect_that!(weights.min_version(at(2_000), &model(), time), none());
     let news = weights.learn_with_age(at(1_000), &model(), WeightVersion(2), millis(5_500));
     expect_that!(news, eq(false));
-    expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
+    expect_that!(weights.min_version(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     let left = weights.work_time(at(2_000), &model(), WeightVersion(1), time);
     expect_that!(left, some(eq(millis(1_100))));
     // One that knows it for less long changes nothing, and a newer one is news.
     weights.learn_with_age(at(2_000), &model(), WeightVersion(2), millis(10));
-    expect_that!(weights.least(at(2_000), &model(), time), some(eq(WeightVersion(2))));
+    expect_that!(weights.min_version(at(2_000), &model(), time), some(eq(WeightVersion(2))));
     expect_that!(
         weights.learn_with_age(at(2_000), &model(), WeightVersion(3), millis(0)),
         eq(true)
@@ -171,13 +171,13 @@
     expect_that!(weights.learn(at(0), &model(), WeightVersion(2)), eq(true));
     expect_that!(weights.learn(at(10), &model(), WeightVersion(2)), eq(false));
     expect_that!(weights.learn(at(2000), &model(), WeightVersion(3)), eq(true));
-    expect_that!(weights.least(at(6399), &model(), time), none());
-    expect_that!(weights.least(at(6400), &model(), time), some(eq(WeightVersion(2))));
-    expect_that!(weights.least(at(8399), &model(), time), some(eq(WeightVersion(2))));
-    expect_that!(weights.least(at(8400), &model(), time), some(eq(WeightVersion(3))));
+    expect_that!(weights.min_version(at(6399), &model(), time), none());
+    expect_that!(weights.min_version(at(6400), &model(), time), some(eq(WeightVersion(2))));
+    expect_that!(weights.min_version(at(8399), &model(), time), some(eq(WeightVersion(2))));
+    expect_that!(weights.min_version(at(8400), &model(), time), some(eq(WeightVersion(3))));
     let longer = Duration::from_millis(13_400);
-    expect_that!(weights.least(at(11_799), &model(), longer), none());
-    expect_that!(weights.least(at(11_800), &model(), longer), some(eq(WeightVersion(2))));
+    expect_that!(weights.min_version(at(11_799), &model(), longer), none());
+    expect_that!(weights.min_version(at(11_800), &model(), longer), some(eq(WeightVersion(2))));
 }
 
 #[gtest]
@@ -213,12 +213,12 @@
 
 #[gtest]
 fn prompts_that_wait_put_off_the_first_token() {
-    let idle = first_token(&figures(), EngineLoad::default(), work(1000));
+    let idle = time_to_first_token(&figures(), EngineLoad::default(), work(1000));
     let behind = EngineLoad { in_flight: 4, waiting_tokens: 4000 };
     let full = EngineLoad { in_flight: 18, waiting_tokens: 0 };
     expect_that!(idle, lt(millis(150)));
-    expect_that!(first_token(&figures(), behind, work(1000)), gt(idle + millis(200)));
-    expect_that!(first_token(&figures(), full, work(1000)), gt(idle + millis(200)));
+    expect_that!(time_to_first_token(&figures(), behind, work(1000)), gt(idle + millis(200)));
+    expect_that!(time_to_first_token(&figures(), full, work(1000)), gt(idle + millis(200)));
 }
 
 fn choose(table: &ServerTable, now: Moment, least: Option<u64>, tried: &[ServerId]) -> String {
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -38,7 +38,7 @@
 }
 
 fn least(weights: &WeightDeadlines, millis: u64) -> u64 {
-    weights.least(at(millis), &model(), CHANGE_TIME).map_or(0, |version| version.0)
+    weights.min_version(at(millis), &model(), CHANGE_TIME).map_or(0, |version| version.0)
 }
 
 #[gtest]
--- a/crates/core/tests/shedding.rs
+++ b/crates/core/tests/shedding.rs
@@ -6,7 +6,7 @@
 use headlatch_core::{
     direct::{
         engine_model::EngineLoad,
-        shedding::{EngineRoom, LOT_TIME, LoadShedder, NewRequest, RequestLot},
+        shedding::{EngineHeadroom, LoadShedder, NewRequest, RANK_PERIOD, ShedRank},
     },
     time::Moment,
 };
@@ -21,12 +21,12 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-fn lot(content: u64) -> RequestLot {
-    RequestLot::new(RequestDigest(content), Duration::from_secs(1_000_000))
+fn rank(content: u64) -> ShedRank {
+    ShedRank::new(RequestDigest(content), Duration::from_secs(1_000_000))
 }
 
 /// Contents of which this part was refused while the engines had this room, over some seconds.
-fn refused(shedder: &mut LoadShedder, from: u64, room: EngineRoom, objective: u64) -> f64 {
+fn refused(shedder: &mut LoadShedder, from: u64, room: EngineHeadroom, objective: u64) -> f64 {
     let (service, figures): (Arc<str>, _) = ("llm".into(), figures());
     let objective = Duration::from_millis(objective);
     let contents = 0..4000;
@@ -37,14 +37,14 @@
             regions: &AllowedRegions::Anywhere,
             figures: &figures,
             objective,
-            lot: lot(*content),
+            rank: rank(*content),
         };
         shedder.refuses(at(from + content * 2), &new, room).is_some()
     });
     refused.count() as f64 / count
 }
 
-const IDLE: EngineRoom = EngineRoom::Best(EngineLoad { in_flight: 0, waiting_tokens: 0 });
+const IDLE: EngineHeadroom = EngineHeadroom::Best(EngineLoad { in_flight: 0, waiting_tokens: 0 });
 
 #[gtest]
 fn nobody_is_refused_while_an_engine_is_idle() {
@@ -58,7 +58,7 @@
 #[gtest]
 fn what_was_refused_before_says_nothing_once_engines_are_free() {
     let mut shedder = LoadShedder::default();
-    expect_that!(refused(&mut shedder, 0, EngineRoom::Full, 400), gt(0.8));
+    expect_that!(refused(&mut shedder, 0, EngineHeadroom::Full, 400), gt(0.8));
     expect_that!(refused(&mut shedder, 8000, IDLE, 400), eq(0.0));
 }
 
@@ -66,7 +66,7 @@
 fn more_are_refused_the_longer_the_wait_is() {
     let waiting = [0, 1000, 2000, 3000, 4000];
     let parts = waiting.map(|waiting_tokens| {
-        let room = EngineRoom::Best(EngineLoad { in_flight: 16, waiting_tokens });
+        let room = EngineHeadroom::Best(EngineLoad { in_flight: 16, waiting_tokens });
         refused(&mut LoadShedder::default(), 0, room, 400)
     });
     expect_that!(parts.is_sorted(), eq(true), "{parts:?}");
@@ -77,7 +77,7 @@
 #[gtest]
 fn a_kind_with_a_long_objective_does_not_fill_engines_for_the_others() {
     let (service, figures): (Arc<str>, _) = ("llm".into(), figures());
-    let room = EngineRoom::Best(EngineLoad { in_flight: 17, waiting_tokens: 3000 });
+    let room = EngineHeadroom::Best(EngineLoad { in_flight: 17, waiting_tokens: 3000 });
     let mut shedder = LoadShedder::default();
     let mut patient = Vec::new();
     for content in 0..2000 {
@@ -88,7 +88,7 @@
                 regions: &AllowedRegions::Anywhere,
                 figures: &figures,
                 objective,
-                lot: lot(content),
+                rank: rank(content),
             };
             shedder.refuses(at(content * 4), &new, room).is_some()
         };
@@ -106,7 +106,7 @@
             regions: &AllowedRegions::Anywhere,
             figures: &figures,
             objective,
-            lot: lot(content),
+            rank: rank(content),
         };
         let refused = shedder.refuses(at(content * 4), &new, room);
         if content > 1000 && objective.as_secs() == 10 {
@@ -118,42 +118,43 @@
 #[gtest]
 fn a_content_keeps_its_lot_for_a_while_and_is_then_drawn_anew() {
     let begin = Duration::from_secs(1_000_000);
-    let lot_after = |content, seconds| {
-        RequestLot::new(RequestDigest(content), begin + Duration::from_secs(seconds))
+    let rank_after = |content, seconds| {
+        ShedRank::new(RequestDigest(content), begin + Duration::from_secs(seconds))
     };
     let contents = 0..1000;
     // Who is back within three seconds has the same lot in nine of ten cases, at whatever entry.
-    let kept = contents.clone().filter(|content| lot_after(*content, 0) == lot_after(*content, 3));
+    let kept =
+        contents.clone().filter(|content| rank_after(*content, 0) == rank_after(*content, 3));
     expect_that!(kept.count(), ge(850));
-    let long = LOT_TIME.as_secs() + 1;
+    let long = RANK_PERIOD.as_secs() + 1;
     let kept =
-        contents.clone().filter(|content| lot_after(*content, 0) == lot_after(*content, long));
+        contents.clone().filter(|content| rank_after(*content, 0) == rank_after(*content, long));
     expect_that!(kept.count(), eq(0));
     // Lots stand evenly between 0 and 1.
-    let mut lots: Vec<f64> = contents.map(|content| share_below(lot(content))).collect();
-    lots.sort_by(f64::total_cmp);
-    expect_that!(lots[100], near(0.1, 0.05));
-    expect_that!(lots[900], near(0.9, 0.05));
+    let mut ranks: Vec<f64> = contents.map(|content| share_below(rank(content))).collect();
+    ranks.sort_by(f64::total_cmp);
+    expect_that!(ranks[100], near(0.1, 0.05));
+    expect_that!(ranks[900], near(0.9, 0.05));
 }
 
 /// The part of a thousand other lots that stand below this one.
-fn share_below(lot_of_one: RequestLot) -> f64 {
-    (5000..6000).filter(|content| lot(*content) < lot_of_one).count() as f64 / 1000.0
+fn share_below(rank_of_one: ShedRank) -> f64 {
+    (5000..6000).filter(|content| rank(*content) < rank_of_one).count() as f64 / 1000.0
 }
 
 #[gtest]
 fn services_do_not_count_for_each_other() {
     let mut shedder = LoadShedder::default();
-    let _ = refused(&mut shedder, 0, EngineRoom::Full, 400);
+    let _ = refused(&mut shedder, 0, EngineHeadroom::Full, 400);
     let (service, figures): (Arc<str>, _) = ("other".into(), figures());
     let objective = Duration::from_millis(400);
-    let room = EngineRoom::Best(EngineLoad { in_flight: 15, waiting_tokens: 0 });
+    let room = EngineHeadroom::Best(EngineLoad { in_flight: 15, waiting_tokens: 0 });
     let new = NewRequest {
         service: &service,
         regions: &AllowedRegions::Anywhere,
         figures: &figures,
         objective,
-        lot: lot(1),
+        rank: rank(1),
     };
     expect_that!(shedder.refuses(at(8000), &new, room), none());
 }
--- a/crates/core/tests/size_class.rs
+++ b/crates/core/tests/size_class.rs
@@ -11,10 +11,10 @@
     let mut ranks = SizeRanks::default();
     let (short, long): (Arc<str>, Arc<str>) = ("short".into(), "long".into());
     for size in 1..=100 {
-        let _ = ranks.note(&short, ByteSize::from_bytes(size));
-        let _ = ranks.note(&long, ByteSize::from_bytes(size * 1000));
+        let _ = ranks.record(&short, ByteSize::from_bytes(size));
+        let _ = ranks.record(&long, ByteSize::from_bytes(size * 1000));
     }
-    let mut class = |kind, size| ranks.note(kind, ByteSize::from_bytes(size));
+    let mut class = |kind, size| ranks.record(kind, ByteSize::from_bytes(size));
     expect_that!(class(&short, 95), eq(SizeClass::LargestTenth));
     expect_that!(class(&short, 80), eq(SizeClass::NextFifth));
     expect_that!(class(&short, 60), eq(SizeClass::UpperHalf));
@@ -28,7 +28,7 @@
     let mut ranks = SizeRanks::default();
     let kind: Arc<str> = "empty".into();
     let classes: Vec<SizeClass> =
-        (0..100).map(|_| ranks.note(&kind, ByteSize::from_bytes(0))).collect();
+        (0..100).map(|_| ranks.record(&kind, ByteSize::from_bytes(0))).collect();
     expect_that!(&classes[50..], each(not(eq(&SizeClass::LargestTenth))));
     expect_that!(&classes[50..], each(not(eq(&SizeClass::NextFifth))));
 }
@@ -37,8 +37,8 @@
 fn sizes_that_change_are_ranked_anew() {
     let mut ranks = SizeRanks::default();
     let kind: Arc<str> = "drafts".into();
-    (0..300).for_each(|_| _ = ranks.note(&kind, ByteSize::from_bytes(100)));
-    (1..=300).for_each(|size| _ = ranks.note(&kind, ByteSize::from_bytes(size * 1000)));
-    expect_that!(ranks.note(&kind, ByteSize::from_bytes(60_000)), eq(SizeClass::LowerHalf));
-    expect_that!(ranks.note(&kind, ByteSize::from_bytes(299_000)), eq(SizeClass::LargestTenth));
+    (0..300).for_each(|_| _ = ranks.record(&kind, ByteSize::from_bytes(100)));
+    (1..=300).for_each(|size| _ = ranks.record(&kind, ByteSize::from_bytes(size * 1000)));
+    expect_that!(ranks.record(&kind, ByteSize::from_bytes(60_000)), eq(SizeClass::LowerHalf));
+    expect_that!(ranks.record(&kind, ByteSize::from_bytes(299_000)), eq(SizeClass::LargestTenth));
 }
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -25,7 +25,7 @@
         server_table::{
             ChosenServer, EngineQuery, ServerChoice, ServerOutcome, ServerQuery, ServerTable,
         },
-        shedding::{LoadShedder, NewRequest, RequestLot},
+        shedding::{LoadShedder, NewRequest, ShedRank},
         size_class::SizeClass,
     },
     time::Moment,
@@ -147,7 +147,7 @@
 
     fn class(&self, class: SizeClass) -> f64 {
         self.share(|index, count| {
-            SizeClass::with_larger((count - 1 - index) as f64 / count as f64) == class
+            SizeClass::from_share_above((count - 1 - index) as f64 / count as f64) == class
         })
     }
 
@@ -305,9 +305,9 @@
             regions: &AllowedRegions::Anywhere,
             figures: &self.figures,
             objective: work.objective,
-            lot: RequestLot::new(job.content, self.now.since(Moment::ZERO)),
+            rank: ShedRank::new(job.content, self.now.since(Moment::ZERO)),
         };
-        let shed = self.shedders[job.entry].refuses(self.now, &new, choice.engine_room());
+        let shed = self.shedders[job.entry].refuses(self.now, &new, choice.engine_headroom());
         match choice {
             ServerChoice::Server(server) if shed.is_none() => {
                 self.tables[job.entry].begin(&server.id, job.prompt);
--- a/crates/daemon/src/direct/attempt.rs
+++ b/crates/daemon/src/direct/attempt.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use headlatch_core::direct::{
-    engine_model::whole_answer,
+    engine_model::completion_time,
     server_table::{ChosenServer, ServerOutcome},
     time_limit::{LimitedTime, TimeLimit},
 };
@@ -276,9 +276,9 @@
     let model = request.facts.model.as_deref();
     let Some(work_time) = state.work_time(model, server.version) else { return left };
     let first = server.predicted.unwrap_or_default();
-    let whole = whole_answer(figures, first, request.facts.answer_tokens);
+    let whole = completion_time(figures, first, request.facts.answer_tokens);
     let time = work_time.max(whole * FINISH_PERCENT / 100);
-    left.least(Some(LimitedTime::new(time, TimeLimit::Weights)))
+    left.shorter(Some(LimitedTime::new(time, TimeLimit::Weights)))
 }
 
 /// The least version of weights that may answer what is sent now.
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -7,7 +7,7 @@
         server_table::{
             ChosenServer, EngineQuery, FullServers, ServerChoice, ServerOutcome, ServerQuery,
         },
-        shedding::{NewRequest, RequestLot},
+        shedding::{NewRequest, ShedRank},
         suspects::{ProgressAtEnd, QUARANTINE_TIME},
     },
     time::Moment,
@@ -202,9 +202,9 @@
             regions,
             figures,
             objective: work.objective,
-            lot: RequestLot::new(self.request.digests.without_query, unix_time()),
+            rank: ShedRank::new(self.request.digests.without_query, unix_time()),
         };
-        self.state.shedder().refuses(self.state.now(), &request, choice.engine_room())
+        self.state.shedder().refuses(self.state.now(), &request, choice.engine_headroom())
     }
 
     /// Whether the request may be sent to one more server.
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -159,7 +159,7 @@
     let limits = routes.plan().limits;
     let timeout = if route.timeout_ms == 0 { USUAL_DEADLINE } else { route.timeout() };
     let caller = facts.deadline.map(|time| LimitedTime::new(time, TimeLimit::Caller));
-    let held = LimitedTime::new(timeout, TimeLimit::Route).least(caller);
+    let held = LimitedTime::new(timeout, TimeLimit::Route).shorter(caller);
     let deadline = arrived + held.time;
     let read = state.request_memory.read_request(&parts, body, limits.body_bytes, deadline);
     let body = read.await?;
@@ -168,7 +168,7 @@
     let service = service.ok_or_else(|| GivenUp::refused("no_service", NO_PLAN_REST))?;
     let engine = routes.plan().services.get(&*service).and_then(|service| service.engine.clone());
     let digests = digests_of(&parts, tenant.as_deref(), &body.bytes);
-    let size = state.sizes().note(&route.name, ByteSize::from_bytes(body.bytes.len() as u64));
+    let size = state.sizes().record(&route.name, ByteSize::from_bytes(body.bytes.len() as u64));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = path.parse().map_err(|_| GivenUp::denied(StatusCode::BAD_REQUEST, "bad_path"))?;
     Ok(RequestPlan {
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -393,7 +393,7 @@
     pub fn least_version(&self, model: Option<&str>) -> Option<WeightVersion> {
         let model: ModelName = model?.parse().ok()?;
         let time = self.settings.direct.weights_time;
-        self.weights().least(self.now(), &model, time)
+        self.weights().min_version(self.now(), &model, time)
     }
 
     /// Time for which a server with `version` may work on what it is sent now.
@@ -424,7 +424,7 @@
         let engine = routes.plan().services.get(service)?.engine.as_ref()?;
         let (now, time) = (self.now(), self.settings.direct.weights_time);
         let models = engine.models.iter();
-        let least = models.filter_map(|model| self.weights().least(now, model, time)).max();
+        let least = models.filter_map(|model| self.weights().min_version(now, model, time)).max();
         let entries = self.entries();
         let retries = self.retries().left(now, service, entries);
         let within_region = routes.plan().restricts_regions(service);
