--- a/crates/core/src/direct/engine_model.rs
+++ b/crates/core/src/direct/engine_model.rs
@@ -1,30 +1,31 @@
-//! A model of an engine: when will the first token of a request come?
+//! Predicts when an engine returns the first token and the complete answer of a request.
 //!
-//! An engine reads prompts between the steps of the requests that write. A prompt waits for those
-//! that came before it, and beyond the engine's slots for others to end.
+//! An engine prefills prompts between the decode steps of running requests. A prompt waits for the
+//! prefill of those queued before it and, beyond the engine's slots, for running requests to
+//! finish.
 
 use std::time::Duration;
 
 use headlatch_types::traffic::EngineFigures;
 
-/// Longer reading of prompts while other requests write in between, relative to reading alone.
+/// Slowdown of prefill while other requests decode in between, relative to prefill alone.
 const PREFILL_SLOWDOWN: f64 = 1.5;
 
-/// Longer writing of answers while prompts are read in between, relative to writing alone.
+/// Slowdown of decode while prompts are prefilled in between, relative to decode alone.
 const DECODE_SLOWDOWN: f64 = 1.7;
 
-/// Prompt tokens where neither the request nor the plan says.
+/// Number of prompt tokens if neither the request nor the plan specifies it.
 const DEFAULT_PROMPT_TOKENS: u64 = 800;
 
-/// Answer tokens where neither the request nor the plan says.
+/// Number of answer tokens if neither the request nor the plan specifies it.
 const DEFAULT_ANSWER_TOKENS: u64 = 100;
 
-/// What an engine has to do, as far as is known.
+/// Known load of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that it runs or that wait.
+    /// Number of running and queued requests.
     pub in_flight: u32,
-    /// Prompt tokens of requests whose first token has not come.
+    /// Prompt tokens of requests that have not produced their first token.
     pub waiting_tokens: u64,
 }
 
@@ -39,17 +40,17 @@
     }
 }
 
-/// What a request asks of an engine.
+/// Work that a request causes on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineWork {
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
     /// Time in which its first token is wanted.
     pub objective: Duration,
 }
 
 impl EngineWork {
-    /// The work of a request that tells its prompt, or of a usual one.
+    /// Work of a request with `prompt` tokens, or with a usual prompt if that is `None`.
     pub fn new(figures: &EngineFigures, prompt: Option<u64>, objective: Duration) -> Self {
         Self { prompt: prompt.unwrap_or(usual_prompt(figures)), objective }
     }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Time in which an engine reads a prompt of `tokens` while others write.
+/// Seconds that an engine needs to prefill `tokens` while other requests decode.
 fn prefill_time(figures: &EngineFigures, tokens: u64) -> f64 {
     match figures.read_per_second > 0.0 {
         true => tokens as f64 / figures.read_per_second * PREFILL_SLOWDOWN,
@@ -70,12 +71,12 @@
     }
 }
 
-/// Time in which an engine reads a usual prompt while others write.
+/// Time that an engine needs to prefill a usual prompt while other requests decode.
 pub fn usual_prefill_time(figures: &EngineFigures) -> Duration {
     Duration::from_secs_f64(prefill_time(figures, usual_prompt(figures)))
 }
 
-/// Time until the first token of `work` comes from an engine with `load`.
+/// Time until an engine with `load` returns the first token of `work`.
 pub fn time_to_first_token(
     figures: &EngineFigures,
     load: EngineLoad,
@@ -88,8 +89,8 @@
     Duration::from_secs_f64(prefill_time + pass + slot_wait)
 }
 
-/// Time until a whole answer of up to `tokens` has come from an engine whose first token is predicted
-/// after `first`; of a usual answer where `tokens` is not known.
+/// Time until an engine has returned an answer of up to `tokens`, or of usual length if that is
+/// `None`. `first` is the predicted time to the first token.
 pub fn completion_time(figures: &EngineFigures, first: Duration, tokens: Option<u64>) -> Duration {
     let tokens = tokens.unwrap_or(usual_answer(figures));
     first + Duration::from_secs_f64(tokens as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3)
@@ -102,7 +103,7 @@
     }
 }
 
-/// Time after which one of the slots of a full engine comes free, in seconds.
+/// Seconds until one slot of a full engine becomes free.
 fn slot_time(figures: &EngineFigures) -> f64 {
     let running = usual_answer(figures) as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3;
     running / f64::from(figures.slots.max(1))
--- a/crates/core/src/direct/event_split.rs
+++ b/crates/core/src/direct/event_split.rs
@@ -1,27 +1,27 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! A server may stop in the middle of an event. Only whole events are passed on, so that a stream
-//! can be continued elsewhere after the last of them.
+//! A server may stop in the middle of an event. Only complete events are forwarded, so that another
+//! server can continue the stream after the last of them.
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes with the blank line after it, unchanged.
+    /// The event including its terminating blank line, unchanged.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one that is a number.
+    /// The event's id, if it is a number.
     pub id: Option<u64>,
 }
 
-/// Splits bytes into events.
+/// Incremental splitter for events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
-    /// Bytes of the rest in which no end has been found.
+    /// Number of pending bytes already searched for the end of the event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<StreamEvent> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -35,19 +35,19 @@
         events
     }
 
-    /// Bytes of an event that has begun and has not ended.
+    /// Bytes of the current, incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Forgets an event that has begun.
+    /// Discards the current, incomplete event.
     pub fn clear(&mut self) {
         self.pending.clear();
         self.scanned = 0;
     }
 }
 
-/// Where the first event ends: after a blank line.
+/// End of the first event: the position after its blank line.
 fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
--- a/crates/core/src/direct/request_digest.rs
+++ b/crates/core/src/direct/request_digest.rs
@@ -1,36 +1,36 @@
-//! What makes two requests the same, whatever their ids, deadlines and traces.
+//! Content digests that identify equal requests regardless of ids, deadlines and trace headers.
 
 pub use headlatch_types::request::RequestDigest;
 
-/// What a request is told by.
+/// The parts of a request that its digest covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// Who asks: the name of the organisation, or none where no key is needed.
+    /// Name of the calling organisation; `None` if no key is required.
     pub caller: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host.
+    /// Host name.
     pub host: &'a str,
-    /// Path.
+    /// URL path.
     pub path: &'a str,
-    /// Query, without its question mark.
+    /// Query string without the question mark.
     pub query: Option<&'a str>,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// The two digests of a request. A caller may add something to the query that changes from one
-/// sending to the next, so that only what is before it tells that the content is the same.
+/// Two digests of a request. Callers may add a query parameter that changes with every attempt, so
+/// that only the digest without the query identifies equal content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestDigests {
-    /// Of everything.
+    /// Digest of all parts.
     pub whole: RequestDigest,
-    /// Of everything but the query.
+    /// Digest of all parts except the query.
     pub without_query: RequestDigest,
 }
 
 impl RequestDigests {
-    /// Both digests of a request.
+    /// Computes both digests of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hash_part(&mut hasher, content.caller.map(str::as_bytes));
@@ -43,15 +43,15 @@
         Self { whole, without_query }
     }
 
-    /// Both, or the one if there is no query.
+    /// The distinct digests: a request without a query has only one.
     pub fn iter(&self) -> impl Iterator<Item = RequestDigest> {
         let whole = (self.whole != self.without_query).then_some(self.whole);
         [self.without_query].into_iter().chain(whole)
     }
 }
 
-/// Adds a part with its length, so that parts cannot run into each other; an absent one differs from
-/// an empty one.
+/// Hashes a part preceded by its length, so that adjacent parts cannot be confused; an absent part
+/// differs from an empty one.
 fn hash_part(hasher: &mut blake3::Hasher, part: Option<&[u8]>) {
     let length = part.map_or(u64::MAX, |part| part.len() as u64);
     hasher.update(&length.to_le_bytes());
--- a/crates/core/src/direct/shedding.rs
+++ b/crates/core/src/direct/shedding.rs
@@ -1,9 +1,10 @@
-//! Whom to refuse while engines are full: a part that is the same for all sizes and kinds.
+//! Load shedding while engines are full: rejects the same share of requests of all sizes and kinds.
 //!
-//! To refuse whatever would miss its objective starves long prompts: their own reading stands in the
-//! prediction, so that short ones fill each gap before them, and kinds with a long objective do the same
-//! to those with a short one. So a part of the new requests is refused by lot, as large as keeps the wait
-//! at the best engine so short that long prompts fit as well.
+//! Rejecting every request that would miss its objective starves long prompts: their own prefill is
+//! part of the prediction, so short prompts fill each gap before them, and kinds with a long
+//! objective do the same to kinds with a short one. Instead a pseudo-random share of new requests
+//! is rejected, large enough to keep the wait at the best engine so short that long prompts fit as
+//! well.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -19,46 +20,47 @@
 use super::engine_model::{EngineLoad, EngineWork, time_to_first_token, usual_prefill_time};
 use crate::time::Moment;
 
-/// Part of the objective in which the first token of whatever is let in is to come, in percent:
-/// predictions are made on loads that are some time old.
+/// Share of the objective, in percent, within which the first token of an admitted request should
+/// arrive. Predictions are based on loads that are slightly out of date.
 const PLANNED_PERCENT: u32 = 85;
 
-/// Prompt for which the wait must leave room before anything is refused, in usual prompts: about the
-/// least of the largest tenth.
+/// Prompt, in usual prompts, that must still fit into the objective after the wait; shedding starts
+/// when it does not. About the smallest prompt of the largest tenth.
 const HEADROOM_AT_START: f64 = 2.5;
 
-/// The same where everything is refused: a usual prompt would be late.
+/// The same for the point at which everything is rejected: a usual prompt would be late.
 const HEADROOM_AT_FULL: f64 = 1.0;
 
-/// Time in which the part that is refused follows what the wait asks for. Waits go up and down within
-/// tenths of a second; a part that did the same would let in at the next moment whom it has just
-/// refused, too late for their objectives and in the place of others.
+/// Time constant with which the rejected share follows its target. Waits fluctuate within tenths of
+/// a second; a share that did the same would admit on retry the requests it has just rejected, too
+/// late for their objectives and in place of others.
 const SMOOTHING_TIME: Duration = Duration::from_secs(1);
 
-/// Weight of the wait of the moment beside that, which keeps the two from swinging.
+/// Weight of the instantaneous target beside the smoothed share, which damps oscillation.
 const INSTANT_WEIGHT: f64 = 0.2;
 
-/// Requests whose objectives are remembered: 10 s of an entry with a dozen requests a second.
+/// Number of requests whose objectives are remembered: 10 s of an entry that receives a dozen
+/// requests per second.
 const WINDOW_SIZE: usize = 128;
 
-/// Part of them that must have an objective for it to count, as a divisor: a rare kind with a short
-/// objective must not empty the engines.
+/// Share of remembered requests that must have an objective for it to count, as a divisor. A rare
+/// kind with a short objective must not leave engines empty.
 const RARE_DIVISOR: usize = 20;
 
-/// Time for which a content keeps its lot: several times usual deadlines, so that who comes back is
-/// not drawn anew, and short enough that nobody is refused for long because of what is asked.
+/// Time for which a content keeps its rank. Several times usual deadlines, so that a retry gets the
+/// same rank, and short enough that no content is rejected for long.
 pub const RANK_PERIOD: Duration = Duration::from_secs(30);
 
-/// Where a request stands, from 0 to 1, among those of which a part is refused; the lowest first.
+/// Position of a request, from 0 to 1, in the order of rejection; the lowest are rejected first.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct ShedRank(f64);
 
 impl ShedRank {
-    /// The lot of a content at a time of day: the same at all entries, so that who was refused and comes
-    /// back takes nobody's place, and is drawn anew after [`LOT_TIME`].
+    /// The rank of a content at a time of day. It is the same at all entries, so that retries of
+    /// rejected requests do not displace others, and changes every [`RANK_PERIOD`].
     pub fn new(content: RequestDigest, time_of_day: Duration) -> Self {
         let content = mix(content.0);
-        // Each content has moments of its own at which its lot is drawn anew.
+        // Contents change rank at different times.
         let moved = time_of_day + RANK_PERIOD.mul_f64(unit_fraction(mix(content)));
         let period = moved.as_millis() / RANK_PERIOD.as_millis();
         Self(unit_fraction(mix(content ^ period as u64)))
@@ -77,51 +79,51 @@
     (number >> 32) as f64 / f64::from(u32::MAX)
 }
 
-/// What the engines of a service have room for.
+/// Available capacity of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineHeadroom {
-    /// None can serve anything of the kind now, whatever its load.
+    /// No engine can serve requests of this kind now, whatever its load.
     Unusable,
-    /// All have as many requests as they are sent at most.
+    /// Every engine has the maximum number of requests.
     Full,
-    /// The engine with the shortest wait has this load.
+    /// Load of the engine with the shortest wait.
     Best(EngineLoad),
 }
 
-/// A new request, as far as it matters here.
+/// A new request, as far as load shedding needs it.
 #[derive(Debug, Clone, Copy)]
 pub struct NewRequest<'a> {
     /// The service.
     pub service: &'a Arc<str>,
     /// Regions whose engines may run it.
     pub regions: &'a AllowedRegions,
-    /// The engines' figures.
+    /// Performance figures of the engines.
     pub figures: &'a EngineFigures,
-    /// Time in which its first token is wanted; zero if that is not said.
+    /// Time in which its first token is wanted; zero if not specified.
     pub objective: Duration,
-    /// Its lot.
+    /// Its rank in the order of rejection.
     pub rank: ShedRank,
 }
 
-/// Refuses a part of the new requests of each service. Requests that may run in some regions only have
-/// a share of their own: what they wait for is the room there.
+/// Rejects a share of each service's new requests. Requests restricted to the same regions have a
+/// share of their own, since they wait for capacity there.
 #[derive(Debug, Default)]
 pub struct LoadShedder {
     services: HashMap<Arc<str>, BTreeMap<AllowedRegions, ServiceShare>>,
 }
 
-/// What is refused of the requests of one service that may run in the same regions.
+/// Shedding state of one service's requests that may run in the same regions.
 #[derive(Debug, Default)]
 struct ServiceShare {
     objectives: ObjectiveWindow,
-    /// The part, from 0 to 1, as it follows the wait.
+    /// Smoothed share to reject, from 0 to 1.
     share: f64,
     updated: Moment,
 }
 
 impl LoadShedder {
-    /// Takes in a new request and what engines have room for; the part that is refused, from 0 to 1, if
-    /// this request belongs to it.
+    /// Records a new request and the engines' headroom. Returns the rejected share, from 0 to 1, if
+    /// this request is rejected.
     pub fn refuses(
         &mut self,
         now: Moment,
@@ -130,7 +132,7 @@
     ) -> Option<f64> {
         let service = self.share_of(now, request);
         service.objectives.record(request.objective);
-        // A rare kind with a shorter objective still: its own requests are judged by prediction.
+        // Requests with an even shorter but rare objective are judged by prediction alone.
         let shortest = service.objectives.shortest().unwrap_or_default();
         let target = match room {
             EngineHeadroom::Unusable => return None,
@@ -149,7 +151,8 @@
     fn share_of(&mut self, now: Moment, request: &NewRequest<'_>) -> &mut ServiceShare {
         let shares = self.services.entry(request.service.clone()).or_default();
         if !shares.contains_key(request.regions) {
-            // Changes of the plan must not leave one behind for each set that routes once had.
+            // Plan changes must not leave a stale entry behind for each set of regions that routes
+            // once had.
             shares.retain(|_, share| now.since(share.updated) < RANK_PERIOD);
         }
         shares.entry(request.regions.clone()).or_default()
@@ -157,7 +160,7 @@
 }
 
 impl ServiceShare {
-    /// Follows what the wait of the moment asks for; the part that is refused now.
+    /// Moves the share towards its target; returns the share to reject now.
     fn smooth(&mut self, now: Moment, target: f64) -> f64 {
         let passed = now.since(self.updated).as_secs_f64() / SMOOTHING_TIME.as_secs_f64();
         self.updated = self.updated.max(now);
@@ -166,22 +169,23 @@
     }
 }
 
-/// Whether an engine would begin a request at once: what was refused a moment ago says nothing then.
+/// Whether an engine would start a request at once, in which case the smoothed share is out of
+/// date.
 fn is_half_idle(figures: &EngineFigures, load: EngineLoad) -> bool {
     load.waiting_tokens == 0 && load.in_flight * 2 < figures.slots.max(1)
 }
 
-/// Time until an engine with `load` begins to read a new prompt, and its first pass.
+/// Time until an engine with `load` starts the prefill of a new prompt, plus its first pass.
 fn queue_wait(figures: &EngineFigures, load: EngineLoad) -> Duration {
     time_to_first_token(figures, load, EngineWork { prompt: 0, objective: Duration::ZERO })
 }
 
-/// Part of the new requests, from 0 to 1, that the wait at an engine with `load` asks to refuse, where
-/// `objective` is the shortest of those who ask; none if that is zero.
+/// Share of new requests to reject, from 0 to 1, given the wait at an engine with `load`.
+/// `objective` is the shortest relevant objective; if it is zero, nothing is rejected.
 fn target_share(figures: &EngineFigures, load: EngineLoad, objective: Duration) -> f64 {
     let idle = queue_wait(figures, EngineLoad::default()).as_secs_f64();
     let queue_wait = queue_wait(figures, load).as_secs_f64();
-    // Whoever would not wait is let in: objectives may be shorter than the reading of any prompt.
+    // Requests that would not wait are admitted: an objective may be shorter than any prefill.
     if objective.is_zero() || queue_wait <= idle {
         return 0.0;
     }
@@ -195,7 +199,7 @@
     ((queue_wait - least) / (most - least)).clamp(0.0, 1.0)
 }
 
-/// The objectives of those who asked lately.
+/// Objectives of recent requests.
 #[derive(Debug, Default)]
 struct ObjectiveWindow {
     recent: VecDeque<Duration>,
@@ -209,10 +213,11 @@
         self.recent.push_back(objective);
     }
 
-    /// The shortest objective that more than one in twenty have; none if nobody has asked.
+    /// The shortest objective that more than one in twenty requests have; `None` if there were
+    /// none.
     ///
-    /// With each kind's own objective, the kind with the longest one would fill engines up to where the
-    /// others are refused.
+    /// With a separate objective per kind, the kind with the longest one would fill engines up to
+    /// the point at which the others are rejected.
     fn shortest(&self) -> Option<Duration> {
         let mut objectives: Vec<Duration> = self.recent.iter().copied().collect();
         if objectives.is_empty() {
--- a/crates/core/src/direct/size_class.rs
+++ b/crates/core/src/direct/size_class.rs
@@ -1,6 +1,7 @@
-//! Where the size of a request stands among the sizes of its kind.
+//! Ranks a request's size among recent sizes of its kind.
 //!
-//! Bounds in bytes or tokens would say nothing: what is large for one route is usual for another.
+//! Fixed bounds in bytes or tokens would be meaningless: what is large for one route is usual for
+//! another.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,23 +11,23 @@
 
 use headlatch_types::quantity::ByteSize;
 
-/// Sizes of a kind that are remembered: 10 s of a busy entry, and enough that the largest tenth holds
-/// a dozen and more.
+/// Number of sizes remembered per kind: 10 s of a busy entry, and enough for more than a dozen in
+/// the largest tenth.
 const SIZES_PER_KIND: usize = 256;
 
-/// Kinds that are remembered, so that routes which come and go do not add up: 2 MiB of sizes.
+/// Maximum number of kinds, so that short-lived routes do not accumulate: 2 MiB of sizes.
 const MAX_KINDS: usize = 1024;
 
-/// Part of a kind whose requests are larger than one of the largest tenth.
+/// A size is in the largest tenth if a smaller share of its kind than this is larger.
 const LARGEST_TENTH: f64 = 0.1;
 
-/// The same for the fifth below that.
+/// The same bound for the fifth below the largest tenth.
 const NEXT_FIFTH: f64 = 0.3;
 
-/// The same for the half of the larger ones.
+/// The same bound for the upper half.
 const UPPER_HALF: f64 = 0.5;
 
-/// Where a size stands within its kind.
+/// Position of a size within its kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SizeClass {
     /// Half of the requests are larger.
@@ -40,11 +41,11 @@
 }
 
 impl SizeClass {
-    /// All of them, from small to large.
+    /// All classes, from small to large.
     pub const ALL: [Self; 4] =
         [Self::LowerHalf, Self::UpperHalf, Self::NextFifth, Self::LargestTenth];
 
-    /// The class of a size above which `larger` of its kind stand, from 0 to 1.
+    /// The class of a size, given the share of its kind that is larger, from 0 to 1.
     pub fn from_share_above(larger: f64) -> Self {
         match larger {
             share if share < LARGEST_TENTH => Self::LargestTenth,
@@ -71,14 +72,14 @@
     }
 }
 
-/// The sizes seen lately, by kind of request.
+/// Recent request sizes by kind.
 #[derive(Debug, Default)]
 pub struct SizeRanks {
     kinds: HashMap<Arc<str>, VecDeque<ByteSize>>,
 }
 
 impl SizeRanks {
-    /// Takes in a request's size and tells where it stands within its kind.
+    /// Records a request's size and returns its class within its kind.
     pub fn record(&mut self, kind: &Arc<str>, size: ByteSize) -> SizeClass {
         if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(kind) {
             self.kinds.clear();
@@ -89,7 +90,8 @@
         }
         sizes.push_back(size);
         let larger = sizes.iter().filter(|other| **other > size).count() as f64;
-        // Itself is one of the equals: half of the others that are as large count as larger.
+        // Half of the other requests of equal size count as larger; `sizes` includes the request
+        // itself.
         let equal = sizes.iter().filter(|other| **other == size).count() as f64 - 1.0;
         SizeClass::from_share_above((larger + equal / 2.0) / sizes.len() as f64)
     }
--- a/crates/core/src/direct/staging.rs
+++ b/crates/core/src/direct/staging.rs
@@ -1,7 +1,8 @@
-//! What an agent does next to bring its server to the wanted weights.
+//! Decides an agent's next step for moving its server to the wanted weights.
 //!
-//! Pieces are laid into the server's stage as they come, read back before they are used, and taken
-//! by one fenced order once all of them are right. Servers take turns, so that capacity stays up.
+//! Pieces are written to the server's stage as they arrive and read back before use. Once all of
+//! them are verified, one fenced order makes the engine load them. Servers change in turns so that
+//! serving capacity is kept.
 
 use std::time::Duration;
 
@@ -11,93 +12,95 @@
 use super::weight_deadline::dispatch_time;
 use crate::time::Moment;
 
-/// Time after which an order without an effect is given again.
+/// Time after which an order that had no effect is issued again.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which pieces that were read back count as right: they may rot.
+/// Time for which a successful read-back of the stage stays valid, since staged pieces may be
+/// corrupted later.
 const CHECK_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// Time that one server takes to be emptied and to change.
+/// Time that one server needs to drain and to load new weights.
 const TURN_TIME: Duration = Duration::from_millis(1100);
 
-/// What is known of the stage.
+/// Known state of a server's stage.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StageState {
-    /// The version whose pieces are laid there.
+    /// The version whose pieces are staged.
     pub version: Option<WeightVersion>,
-    /// Which pieces are thought to lie there.
+    /// Which pieces are believed to be staged.
     pub placed: Vec<bool>,
-    /// When all of them were last read back and found right.
+    /// When all pieces were last read back and verified.
     pub checked: Option<Moment>,
-    /// Whether it has been looked at since the version was first wanted.
+    /// Whether the stage has been inspected since the version was first wanted.
     pub surveyed: bool,
 }
 
-/// An order that was given.
+/// An order that was issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GivenOrder {
-    /// For which version.
+    /// Version to load.
     pub version: WeightVersion,
-    /// When.
+    /// When it was issued.
     pub given: Moment,
-    /// What came back, if anything.
+    /// The engine's answer, if one was received.
     pub answer: Option<OrderAnswer>,
-    /// The sequence that it expected.
+    /// The order sequence that the engine was expected to have.
     pub expected: OrderSequence,
 }
 
-/// The life of the server that the last report was of.
+/// Identity of the server process behind the last report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineLife {
     last: Option<(Option<BirthTime>, OrderSequence)>,
 }
 
 impl EngineLife {
-    /// Takes in a report; tells whether the server has started anew since the one before. Where it does
-    /// not tell when it was started, its count of orders may show it: that starts anew as well.
+    /// Records a report and returns whether the server has restarted since the previous one. If the
+    /// server does not report its start time, a restart is recognised by its order count, which
+    /// then starts anew.
     pub fn has_restarted(&mut self, report: &StageReport) -> bool {
         let last = self.last.replace((report.born, report.sequence));
         last.is_some_and(|(born, sequence)| born != report.born || report.sequence < sequence)
     }
 }
 
-/// What is known when a step is decided.
+/// Input to the decision on the next step.
 #[derive(Debug, Clone, Copy)]
 pub struct StageView<'a> {
-    /// The time.
+    /// Current time.
     pub now: Moment,
-    /// The version that is wanted.
+    /// The wanted version.
     pub wanted: WeightVersion,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     /// The server's last report.
     pub report: &'a StageReport,
-    /// The version that the server holds whole.
+    /// The version that the server holds completely.
     pub whole: Option<WeightVersion>,
-    /// The stage.
+    /// State of the stage.
     pub stage: &'a StageState,
-    /// Pieces that are here and verified.
+    /// Which pieces are held locally and verified.
     pub held: &'a [bool],
-    /// The last order.
+    /// The last order issued.
     pub order: Option<GivenOrder>,
     /// Whether it is this server's turn to change.
     pub turn: bool,
 }
 
-/// What is to be done next.
+/// The next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StageStep {
-    /// Nothing.
+    /// Do nothing.
     Wait,
-    /// The server holds what is wanted.
+    /// The server holds the wanted version.
     Done,
-    /// Look which pieces lie in the stage already.
+    /// Inspect which pieces are already staged.
     Survey,
-    /// Lay this piece into the stage.
+    /// Write this piece to the stage.
     Place(u32),
     /// Read all pieces back.
     Check,
-    /// Order the server to start with what lies there.
+    /// Order the engine to load the staged pieces.
     Order(OrderSequence),
 }
 
@@ -106,8 +109,8 @@
     if view.whole.is_some_and(|whole| whole >= view.wanted) {
         return StageStep::Done;
     }
-    // While an order is under way the stage is left alone, unless the engine has taken what lay
-    // there already and another version is next.
+    // Leave the stage alone while an order is in progress, unless the engine has already read the
+    // staged pieces and another version is next.
     let open = order_is_pending(view);
     let taken = view.order.is_some_and(|order| {
         order.answer == Some(OrderAnswer::Begun) && order.version != view.wanted
@@ -131,7 +134,7 @@
     if checked { StageStep::Order(view.report.sequence) } else { StageStep::Check }
 }
 
-/// An order without an effect so far: it may have been taken, or may be yet.
+/// Whether an order has had no visible effect yet but may have been accepted or may still be.
 fn order_is_pending(view: &StageView<'_>) -> bool {
     let Some(order) = view.order else { return false };
     let begun = matches!(order.answer, None | Some(OrderAnswer::Begun | OrderAnswer::Holds));
@@ -141,24 +144,26 @@
         && view.now.since(order.given) < ORDER_TIMEOUT
 }
 
-/// What another agent tells, as far as turns go.
+/// Another agent's state, as far as it matters for turns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnView {
-    /// Its place in the order of turns.
+    /// Its position in the order of turns.
     pub rank: u32,
     /// It holds the wanted version.
     pub done: bool,
-    /// It could change, as all pieces lie in its stage.
+    /// It could change: all pieces are staged.
     pub ready: bool,
-    /// It is changing or being emptied for that.
+    /// It is changing, or draining in order to change.
     pub changing: bool,
 }
 
-/// Whether a server of `rank` may change now; `serves` tells whether it serves anything, `since`
-/// is the time since the version was learnt, `time` the time in which all must have changed.
+/// Whether the server of this `rank` may change now. `serves` tells whether it serves anything,
+/// `since` is the time since the version was learned, `time` the time within which all servers must
+/// have changed.
 ///
-/// As few change at the same time as the time allows until older weights are sent nothing more, so that
-/// capacity stays up: whoever waits longer stands idle before its turn as well as in it.
+/// To keep capacity up, as few servers change at once as still lets all finish before older weights
+/// stop receiving requests: a server that is late is idle while it waits for its turn as well as
+/// during it.
 pub fn has_turn(
     rank: u32,
     serves: bool,
@@ -177,40 +182,40 @@
     undone.filter(is_before).count() < at_once
 }
 
-/// A version that is wanted and that the server does not hold, with what it would take.
+/// A wanted version that the server does not hold, with the cost of fetching it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionChoice {
     /// The version.
     pub version: WeightVersion,
-    /// When older weights are sent nothing more.
+    /// When older weights stop receiving requests.
     pub due: Moment,
-    /// Time until its missing pieces are here.
+    /// Estimated time until its missing pieces have arrived.
     pub transfer: Duration,
 }
 
-/// Time by which a transfer that has not begun may take longer than expected: a version is passed
-/// over for a newer one only if that comes in time all the same.
+/// Allowance for a transfer that has not started and may take longer than estimated. A version is
+/// skipped in favour of a newer one only if the newer one is in time even then.
 const SKIP_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Part of the capacity that may be away at once while servers take turns, in percent: a fleet sized for
-/// its peak has about as much to spare.
+/// Share of capacity, in percent, that may be unavailable while servers take turns. A fleet sized
+/// for its peak has about this much spare.
 const SPARE_PERCENT: u32 = 25;
 
-/// What a change costs whose pieces are here at `here`, as time in which nothing is served, where older
-/// weights are sent nothing more from `due` on.
+/// Cost of changing to a version whose pieces arrive at `here`, as time in which a server does not
+/// serve; older weights stop receiving requests at `due`.
 ///
-/// Every server is away for its turn. With time enough, turns use spare capacity alone; the less there is,
-/// the more are away at once, and past `due` all stand idle.
+/// Every server is unavailable for its turn. With enough time, turns use only spare capacity; the
+/// less time there is, the more servers are away at once, and past `due` all of them are idle.
 fn change_cost(here: Moment, due: Moment) -> Duration {
     let covered = due.since(here) * SPARE_PERCENT / 100;
     TURN_TIME.saturating_sub(covered) + here.since(due)
 }
 
-/// The version to bring in next, of those that are wanted, oldest first.
+/// The version to fetch next, from the wanted versions, oldest first.
 ///
-/// Answers the load of versions named close together. The newest would do for all of them, but where it
-/// comes too late for an older one, servers would have to stop from then on. The older one goes first if
-/// both changes together cost less.
+/// Handles versions announced in quick succession. The newest satisfies the deadlines of all of
+/// them, but if it arrives too late for an older one, servers would have to stop serving at that
+/// deadline. An older version goes first if both changes together cost less.
 pub fn next_version(now: Moment, wanted: &[VersionChoice]) -> Option<WeightVersion> {
     let (newest, older) = wanted.split_last()?;
     let first_due = older.iter().map(|one| one.due).fold(newest.due, Moment::min);
--- a/crates/core/src/direct/stream_timing.rs
+++ b/crates/core/src/direct/stream_timing.rs
@@ -1,10 +1,10 @@
-//! How a stream came: when its first event was here, and the longest pause between two events.
+//! Timing of a stream: its first and last events and the longest pause between two events.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// The times of one stream's events, over all servers that it came from.
+/// Event times of one stream, across all servers that contributed to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamTiming {
     first: Option<Moment>,
@@ -13,7 +13,7 @@
 }
 
 impl StreamTiming {
-    /// Notes that events came.
+    /// Records the arrival of events.
     pub fn note_event(&mut self, now: Moment) {
         if let Some(last) = self.last {
             self.longest_pause = self.longest_pause.max(now.since(last));
@@ -22,17 +22,17 @@
         self.last = Some(now);
     }
 
-    /// When the first event was here; none before that.
+    /// Arrival of the first event; `None` before it.
     pub fn first(&self) -> Option<Moment> {
         self.first
     }
 
-    /// When the last event was here; none before the first.
+    /// Arrival of the last event; `None` before the first.
     pub fn last(&self) -> Option<Moment> {
         self.last
     }
 
-    /// The longest pause between two events so far.
+    /// Longest pause between two events so far.
     pub fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
--- a/crates/core/src/direct/suspects.rs
+++ b/crates/core/src/direct/suspects.rs
@@ -1,13 +1,14 @@
-//! Requests under which servers end, and their quarantine.
+//! Detection and quarantine of requests that terminate the servers running them.
 //!
-//! A limit that is counted by request holds nothing where the same content comes again: here ends of
-//! servers are counted by content, over all entries. Every request that a server had when it ended is a
-//! suspect, most of them without guilt: a suspicion alone changes nothing. One under which servers
-//! ended again and again, and which never ran to its end, is refused from then on.
+//! A retry limit per request gives no protection when the same content is submitted again, so
+//! server ends are counted per content digest, across all entries. Every request in progress on a
+//! server when it ends becomes a suspect. Most suspects are harmless, so a single end has no
+//! effect. A request under which servers ended repeatedly and which never ran to completion is
+//! refused from then on.
 //!
-//! Entries tell each other each end, by content and server life, so that an end that several have seen,
-//! or that is told twice, counts once; failure domains that were cut off from each other join their
-//! counts afterwards. All that is kept is bounded, the oldest suspicions go first.
+//! Entries exchange each end by content and server life, so an end that several entries observe, or
+//! that is reported twice, counts once. Failure domains that were partitioned merge their counts
+//! afterwards. All state is bounded; the oldest suspects are evicted first.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,37 +24,39 @@
 use completed::CompletedRequests;
 pub use notices::{MAX_NOTICES, SuspectNotice};
 
-/// Ends of servers from which on a request is refused. Requests beside a harmful one meet two ends at
-/// times, where it is continued at the same second server as they are.
+/// Number of server ends at which a request is refused. A harmless request running beside a harmful
+/// one can see two ends, when both are retried on the same second server.
 const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Time between two ends after which a request that never brought anything, anywhere, is refused
-/// without a third. Sound ones wait for a first event for a third of a second, and hardly ever twice at
-/// servers that end; but servers that are lost together end within a tenth of a second, in which a
-/// request may be sent from one to the next: where two fifths to two thirds of a service were lost
-/// eight times in 15 s, one of some five hundred sound requests was refused without this time.
+/// Minimum time between two ends for refusing a request without a third, provided it produced no
+/// output anywhere.
+///
+/// Harmless requests wait about a third of a second for their first event and rarely do so twice on
+/// servers that end. Servers lost together end within a tenth of a second, in which a request may
+/// be retried from one to the next: with two fifths to two thirds of a service lost eight times in
+/// 15 s, one of about five hundred harmless requests was refused without this minimum.
 const MIN_END_SPAN: Duration = Duration::from_millis(250);
 
-/// Time for which a request is refused after its last coming. Longer than callers go on trying; a sound
-/// one that was taken for harmful is served again after that.
+/// Time for which a request is refused after it last arrived. Longer than callers keep retrying; a
+/// harmless request that was quarantined by mistake is served again afterwards.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
-/// Time after the last end under it for which a suspicion is kept.
+/// Time after the last recorded end for which a suspect is kept.
 const SUSPICION_TIME: Duration = Duration::from_secs(120);
 
-/// Time for which old word of a request that has been cleared is not believed: several times as long
-/// as entries tell what is new.
+/// Time for which notices about a cleared request are ignored as stale. Several times as long as
+/// entries announce a change.
 const STALE_NOTICE_TIME: Duration = Duration::from_secs(5);
 
-/// Suspects kept at most. Three quarters of a hundred servers that end at once have some thousand
-/// requests; each takes some hundred bytes.
+/// Maximum number of suspects. Three quarters of a hundred servers ending at once have about a
+/// thousand requests in progress; each suspect takes a few hundred bytes.
 pub const MAX_SUSPECTS: usize = 2048;
 
-/// Requests that are refused at most, so that a caller who makes servers end on purpose cannot fill
-/// the memory; each of them costs two ends.
+/// Maximum number of refused requests, so that a caller who terminates servers on purpose cannot
+/// exhaust memory. Each refused request costs the caller two server ends.
 pub const MAX_QUARANTINED: usize = 256;
 
-/// One life of a server, from its start to its end, as a short key.
+/// Short key of one life of a server, from its start to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeKey(pub u32);
 
@@ -63,59 +66,59 @@
     }
 }
 
-/// How far a request had come at a server that ended.
+/// How far a request had progressed on a server when the server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProgressAtEnd {
-    /// It had brought nothing.
+    /// No output had been received.
     NoOutput,
-    /// It had brought a part of its answer.
+    /// Part of the answer had been received.
     PartialOutput,
 }
 
-/// What a word about a suspect changed.
+/// Effect of an observation or notice on a suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectChange {
-    /// Nothing that matters.
+    /// No change that requires action.
     None,
     /// The request is refused from now on.
     Refused {
-        /// The lives of servers that ended under it; none where others have judged.
+        /// Lives of the servers that ended under it; empty if another entry made the decision.
         lives: Vec<LifeKey>,
-        /// This entry has seen one of the ends itself.
+        /// Whether this entry observed one of the ends itself.
         seen: bool,
     },
     /// The request is no longer a suspect.
     Cleared {
-        /// It was refused.
+        /// Whether it was refused before.
         was_refused: bool,
     },
 }
 
-/// A request that is refused, for operators.
+/// A refused request, as reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Time for which it is still refused, unless it comes again.
+    /// Remaining time of the quarantine, unless the request arrives again.
     pub left: Duration,
-    /// Ends of servers under it that this entry knows of.
+    /// Number of server ends under it that this entry knows of.
     pub ends: usize,
 }
 
-/// An end of a server under a request.
+/// A server end under a request.
 #[derive(Debug, Clone, Copy)]
 struct RecordedEnd {
     run: ProgressAtEnd,
-    /// When it was seen, or heard of.
+    /// When it was observed or first reported by another entry.
     recorded: Moment,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Suspect {
     ends: BTreeMap<LifeKey, RecordedEnd>,
-    /// This entry has seen one of the ends itself.
+    /// Whether this entry observed one of the ends itself.
     seen: bool,
-    /// When something new was learnt of it.
+    /// When the suspect last changed.
     updated: Moment,
     refused_until: Option<Moment>,
 }
@@ -132,7 +135,8 @@
         self.ends.len() >= QUARANTINE_THRESHOLD || (silent && span >= MIN_END_SPAN)
     }
 
-    /// Whether others are to hear of it again and again: with one end more it is refused, or it is.
+    /// Whether the suspect is announced periodically: it is refused, or has more than one end and
+    /// may be refused at the next.
     fn needs_repeating(&self, now: Moment) -> bool {
         self.is_refused(now) || self.ends.len() > 1
     }
@@ -142,18 +146,18 @@
     }
 }
 
-/// What one entry knows of requests under which servers ended.
+/// One entry's record of requests under which servers ended.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectTable {
     suspects: BTreeMap<RequestDigest, Suspect>,
-    /// Suspects by when something new was learnt of them.
+    /// Suspects ordered by their last change.
     by_age: BTreeSet<(Moment, RequestDigest)>,
     completed: CompletedRequests,
     cleared: BTreeMap<RequestDigest, Moment>,
 }
 
 impl SuspectTable {
-    /// A server has ended while it had the request, as this entry has seen.
+    /// Records that a server ended while running the request, as observed by this entry.
     pub fn record_server_end(
         &mut self,
         now: Moment,
@@ -168,12 +172,13 @@
         self.add_end(now, digest, life, run)
     }
 
-    /// The request has run to its end: it harms nobody.
+    /// Records that the request ran to completion, which proves it harmless.
     pub fn record_completion(&mut self, now: Moment, digest: RequestDigest) -> SuspectChange {
         self.completed.record(now, digest);
         match self.suspects.get(&digest).map(|suspect| suspect.needs_repeating(now)) {
             Some(true) => self.clear(now, digest),
-            // Where others count a second end of it, this entry speaks for it then.
+            // Not announced: if other entries count a second end, this entry answers with a
+            // clearance.
             Some(false) => {
                 self.remove_suspect(digest);
                 SuspectChange::None
@@ -182,12 +187,13 @@
         }
     }
 
-    /// An operator wants the request to be served again.
+    /// Ends the quarantine of a request at an operator's command.
     pub fn lift(&mut self, now: Moment, digest: RequestDigest) -> SuspectChange {
         self.clear(now, digest)
     }
 
-    /// The store, or another entry, says that the request is refused for `left` more.
+    /// Records that the request is refused for another `left`, according to the store or another
+    /// entry.
     pub fn record_quarantine(
         &mut self,
         now: Moment,
@@ -197,14 +203,15 @@
         self.refuse(now, digest, now + left.min(QUARANTINE_TIME))
     }
 
-    /// Takes in what another entry tells.
+    /// Applies a notice from another entry.
     pub fn apply(&mut self, now: Moment, notice: SuspectNotice) -> SuspectChange {
         let digest = notice.digest();
         match notice {
             SuspectNotice::Cleared { .. } => self.clear(now, digest),
             _ if self.is_stale(now, digest) => SuspectChange::None,
             _ if self.completed.completed_recently(now, digest) => {
-                // Whoever tells that has not heard how the request ran here.
+                // The sender does not know that the request ran to completion here; announce the
+                // clearance.
                 self.cleared.insert(digest, now);
                 SuspectChange::None
             }
@@ -213,12 +220,13 @@
         }
     }
 
-    /// Whether the request is refused now.
+    /// Whether the request is refused at `now`.
     pub fn is_refused(&self, now: Moment, digest: RequestDigest) -> bool {
         self.suspects.get(&digest).is_some_and(|suspect| suspect.is_refused(now))
     }
 
-    /// The request has come; the time for which it is refused from now on, if it is.
+    /// Records that the request has arrived. If it is refused, restarts its quarantine and returns
+    /// the new duration.
     pub fn record_arrival(&mut self, now: Moment, digest: RequestDigest) -> Option<Duration> {
         let suspect = self.suspects.get_mut(&digest)?;
         if !suspect.is_refused(now) {
@@ -228,7 +236,7 @@
         Some(QUARANTINE_TIME)
     }
 
-    /// The requests that are refused.
+    /// All requests that are refused at `now`.
     pub fn refused(&self, now: Moment) -> Vec<QuarantinedRequest> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.is_refused(now));
         refused
@@ -240,17 +248,17 @@
             .collect()
     }
 
-    /// Suspects that are kept, those that are refused among them.
+    /// Number of suspects, including refused ones.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether nothing is suspected.
+    /// Whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired suspects, clearances and completions.
     pub fn remove_expired(&mut self, now: Moment) {
         let old = self.suspects.iter().filter(|(_, suspect)| !suspect.is_current(now));
         let old: Vec<RequestDigest> = old.map(|(digest, _)| *digest).collect();
@@ -263,7 +271,7 @@
         self.cleared.get(&digest).is_some_and(|at| now.since(*at) <= STALE_NOTICE_TIME)
     }
 
-    /// Forgets a suspect, if it is one, and has others told.
+    /// Removes a suspect and has the clearance announced to other entries.
     fn clear(&mut self, now: Moment, digest: RequestDigest) -> SuspectChange {
         if !self.suspects.contains_key(&digest) {
             return SuspectChange::None;
@@ -283,7 +291,8 @@
     ) -> SuspectChange {
         let suspect = self.suspects.entry(digest).or_default();
         let known = suspect.ends.get(&life).copied();
-        // What is proved needs no further end, and one who has seen the request begin knows better.
+        // At the threshold no further end is needed. A report of partial output overrides one of
+        // no output, since its sender has seen the request start.
         if known.is_some_and(|known| known.run >= run) || suspect.ends.len() >= QUARANTINE_THRESHOLD
         {
             return SuspectChange::None;
@@ -314,7 +323,8 @@
         SuspectChange::Refused { lives: Vec::new(), seen: false }
     }
 
-    /// Something new is known of a suspect; the oldest one goes where there are too many.
+    /// Records a change of a suspect; evicts the oldest one that is not refused if there are too
+    /// many.
     fn mark_updated(&mut self, now: Moment, digest: RequestDigest) {
         let Some(suspect) = self.suspects.get_mut(&digest) else { return };
         self.by_age.remove(&(suspect.updated, digest));
--- a/crates/core/src/direct/suspects/completed.rs
+++ b/crates/core/src/direct/suspects/completed.rs
@@ -1,4 +1,4 @@
-//! Requests that have run to their end a short time ago.
+//! Requests that recently ran to completion.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,14 +7,15 @@
 
 use crate::{direct::request_digest::RequestDigest, time::Moment};
 
-/// Time for which a whole answer speaks for a request. The same page is asked for by many callers at
-/// once; where several of its servers are lost in one moment, all of them would count against it.
+/// Time for which a completed run keeps a request from becoming a suspect. Many callers may request
+/// the same content at once; if several of its servers are lost together, every one of those ends
+/// would count against it.
 const COMPLETION_TIME: Duration = Duration::from_secs(60);
 
-/// Requests remembered at most: those of a minute at seventy a second.
+/// Maximum number of remembered completions: one minute at seventy requests per second.
 const MAX_COMPLETED: usize = 4096;
 
-/// Requests that have run to their end a short time ago.
+/// Requests that recently ran to completion.
 #[derive(Debug, Clone, Default)]
 pub struct CompletedRequests {
     last_completions: HashMap<RequestDigest, Moment>,
@@ -22,7 +23,7 @@
 }
 
 impl CompletedRequests {
-    /// The request has run to its end.
+    /// Records that the request ran to completion.
     pub fn record(&mut self, now: Moment, digest: RequestDigest) {
         self.last_completions.insert(digest, now);
         self.in_order.push_back((now, digest));
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Whether it has run to its end a short time ago.
+    /// Whether the request ran to completion within [`COMPLETION_TIME`].
     pub fn completed_recently(&self, now: Moment, digest: RequestDigest) -> bool {
         self.last_completions.get(&digest).is_some_and(|at| now.since(*at) <= COMPLETION_TIME)
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes completions older than [`COMPLETION_TIME`].
     pub fn remove_expired(&mut self, now: Moment) {
         while self.in_order.front().is_some_and(|(at, _)| now.since(*at) > COMPLETION_TIME) {
             self.remove_oldest();
@@ -45,7 +46,7 @@
 
     fn remove_oldest(&mut self) {
         let Some((at, digest)) = self.in_order.pop_front() else { return };
-        // It may have run again since.
+        // Keeps the entry if the request has completed again since.
         if self.last_completions.get(&digest) == Some(&at) {
             self.last_completions.remove(&digest);
         }
--- a/crates/core/src/direct/suspects/notices.rs
+++ b/crates/core/src/direct/suspects/notices.rs
@@ -1,54 +1,57 @@
-//! What entries tell each other of suspects.
+//! Notices about suspects exchanged between entries.
 
 use std::time::Duration;
 
 use super::{LifeKey, ProgressAtEnd, RecordedEnd, Suspect, SuspectTable};
 use crate::{direct::request_digest::RequestDigest, time::Moment};
 
-/// Words told in one notice at most; each takes some twenty bytes.
+/// Maximum number of suspect notices per datagram; each takes about twenty bytes.
 pub const MAX_NOTICES: usize = 48;
 
-/// Time for which what is new is told in every notice: a dozen of them, of which several may be lost.
+/// Time for which a change is included in every datagram: a dozen of them, of which several may be
+/// lost.
 const ANNOUNCE_TIME: Duration = Duration::from_millis(1200);
 
-/// How often what lasts is told again: whoever has started, or was cut off, must know it before the
-/// three seconds are over after which it is held to it.
+/// Interval at which lasting state is announced again. An entry that has just started or was
+/// partitioned must learn it within the three seconds after which it is expected to comply.
 const REPEAT_INTERVAL_MS: u64 = 1000;
 
-/// Part of that time in which it is told: one notice and a half.
+/// Part of each interval in which lasting state is announced: one and a half datagrams.
 const REPEAT_WINDOW_MS: u64 = 150;
 
-/// Time between two notices, in which another part is told where there is too much for one.
+/// Time between two datagrams. Each one carries a different part of the notices if there are too
+/// many for one.
 const ROTATION_MS: u64 = 100;
 
-/// What an entry tells of one suspect.
+/// A notice about one suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectNotice {
-    /// A server has ended while it had the request.
+    /// A server ended while running the request.
     Ended {
-        /// The request.
+        /// Digest of the request.
         digest: RequestDigest,
-        /// The life of the server that ended.
+        /// Life of the server that ended.
         life: LifeKey,
-        /// How far the request had come there.
+        /// How far the request had progressed there.
         run: ProgressAtEnd,
     },
     /// The request is refused.
     Refused {
-        /// The request.
+        /// Digest of the request.
         digest: RequestDigest,
-        /// For how long, in whole seconds, so that it does not grow as it is told on.
+        /// Remaining quarantine in whole seconds, rounded down so that it does not grow as the
+        /// notice is passed on.
         left: Duration,
     },
-    /// The request has run to its end, or an operator wants it to be served.
+    /// The request ran to completion, or an operator ended its quarantine.
     Cleared {
-        /// The request.
+        /// Digest of the request.
         digest: RequestDigest,
     },
 }
 
 impl SuspectNotice {
-    /// The request.
+    /// Digest of the request.
     pub fn digest(self) -> RequestDigest {
         match self {
             Self::Ended { digest, .. }
@@ -59,8 +62,8 @@
 }
 
 impl SuspectTable {
-    /// What other entries are to be told now: what is new always, what lasts once a second. What
-    /// matters most comes first; of the rest others are told by turns where there is too much.
+    /// Notices to send to other entries at `now`: recent changes always, lasting state once a
+    /// second. Sorted by priority; notices of equal priority rotate if they do not all fit.
     pub fn notices(&self, now: Moment) -> Vec<SuspectNotice> {
         let millis = now.micros() / 1000;
         let repeats = millis % REPEAT_INTERVAL_MS < REPEAT_WINDOW_MS;
@@ -84,7 +87,7 @@
     }
 }
 
-/// What others are to hear first.
+/// Order in which notices are sent, most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum NoticePriority {
     Refused,
--- a/crates/core/src/direct/time_limit.rs
+++ b/crates/core/src/direct/time_limit.rs
@@ -1,35 +1,35 @@
-//! How long a request may take, and whose limit that is.
+//! Time limits of requests and where they come from.
 
 use std::time::Duration;
 
-/// Whose limit a time is.
+/// Source of a time limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TimeLimit {
-    /// The caller waits no longer.
+    /// The caller's deadline.
     Caller,
-    /// The route's timeout, or the usual one where the route has none.
+    /// The route's timeout, or the default timeout if the route has none.
     Route,
-    /// Newer weights are wanted, and older ones must not be worked with for longer.
+    /// A newer version of the weights is wanted, and the older one must not be used any longer.
     Weights,
 }
 
-/// A time with the limit that it comes from.
+/// A duration with the source of its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitedTime {
-    /// The time.
+    /// The duration.
     pub time: Duration,
-    /// Whose limit it is.
+    /// Source of the limit.
     pub limit: TimeLimit,
 }
 
 impl LimitedTime {
-    /// `time` as the limit of `limit`.
+    /// A duration limited by `limit`.
     pub fn new(time: Duration, limit: TimeLimit) -> Self {
         Self { time, limit }
     }
 
-    /// The shorter of this and `other`; this one where they are equal.
+    /// The shorter of this and `other`; this one if they are equal.
     pub fn shorter(self, other: Option<Self>) -> Self {
         match other {
             Some(other) if other.time < self.time => other,
--- a/crates/core/src/direct/transfer_rate.rs
+++ b/crates/core/src/direct/transfer_rate.rs
@@ -1,7 +1,7 @@
-//! How long a version's missing pieces take to come, from the pace at which pieces have come lately.
+//! Estimates how long a version's missing pieces take to arrive, from the rate of recent arrivals.
 //!
-//! Answers the load of a burst whose bottleneck nobody told: an origin narrower than a box's own link, one
-//! that is slow, or a link that is shared with requests.
+//! Measuring the rate covers bottlenecks that are not configured: an origin narrower than a box's
+//! own link, a slow origin, or a link shared with requests.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,29 +9,29 @@
 
 use crate::time::Moment;
 
-/// Time over which the pace is taken.
+/// Time window over which the rate is measured.
 const RATE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Pieces that must have come in that time for the pace to say anything.
+/// Minimum number of pieces received in the window for the rate to be meaningful.
 const MIN_PIECES: u32 = 8;
 
-/// Part by which a transfer takes longer than its slowest link alone would, in percent: pieces pass several
-/// boxes.
+/// Duration of a transfer relative to its slowest link alone, in percent: pieces pass through
+/// several boxes.
 const RELAY_OVERHEAD_PERCENT: u32 = 120;
 
-/// Time for the last pieces to spread and to be laid into the stage.
+/// Time for the last pieces to spread and to be written to the stage.
 const SPREAD_TIME: Duration = Duration::from_millis(500);
 
-/// What is told of a transfer.
+/// State of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransferView {
     /// The version.
     pub version: WeightVersion,
-    /// Pieces that are here.
+    /// Number of pieces held.
     pub held: u32,
-    /// Pieces in all.
+    /// Total number of pieces.
     pub pieces: u32,
-    /// Time that one piece takes over the narrowest link known.
+    /// Time to send one piece over the narrowest known link.
     pub piece_time: Duration,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The pace of the transfer that is under way.
+/// Measured rate of the current transfer.
 #[derive(Debug, Clone, Default)]
 pub struct TransferRate {
     version: Option<WeightVersion>,
@@ -49,7 +49,7 @@
 }
 
 impl TransferRate {
-    /// Takes in how many pieces of a version are here.
+    /// Records how many pieces of a version are held.
     pub fn record(&mut self, now: Moment, version: WeightVersion, held: u32) {
         if self.version != Some(version) {
             self.version = Some(version);
@@ -61,9 +61,10 @@
         }
     }
 
-    /// Time until the missing pieces are here.
+    /// Estimated time until the missing pieces have arrived.
     ///
-    /// While nothing comes, as in an outage, it is what the links would take from now on.
+    /// While nothing arrives, as in an outage, this is the time that the links would need from now
+    /// on.
     pub fn time_left(&self, view: &TransferView) -> Duration {
         let missing = view.missing();
         if missing == 0 {
@@ -74,7 +75,7 @@
         measured.unwrap_or(predicted).max(view.piece_time * missing) + SPREAD_TIME
     }
 
-    /// Time between two pieces lately; none where too few have come.
+    /// Recent average time between two pieces; `None` if too few have arrived.
     fn piece_interval(&self, version: WeightVersion) -> Option<Duration> {
         let (from, before) = self.held.front().filter(|_| self.version == Some(version))?;
         let (until, after) = self.held.back()?;
--- a/crates/core/src/direct/weight_deadline.rs
+++ b/crates/core/src/direct/weight_deadline.rs
@@ -1,4 +1,4 @@
-//! From when on requests must not start on older weights.
+//! Deadlines after which requests must not start on older weights.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,18 +7,19 @@
 use super::peers::WantedNotice;
 use crate::time::Moment;
 
-/// Time before the deadline from which on older weights are sent nothing more: what is sent may wait on
-/// a link or at the server before it starts, and that takes as long however much time there is to change.
+/// Time before the deadline at which entries stop sending requests to older weights. A request may
+/// wait on a link or at the server before it starts, and that delay does not depend on how much
+/// time servers have to change.
 const START_MARGIN: Duration = Duration::from_millis(1600);
 
 /// Time before the deadline at which servers with older weights stop work.
 const WORK_RESERVE: Duration = Duration::from_millis(400);
 
-/// Where there is little time to change, the margin is at most one of this many parts of it.
+/// If servers have little time to change, the margin is at most this fraction of it, as a divisor.
 const MARGIN_DIVISOR: u32 = 4;
 
-/// How long older weights are sent requests after a newer version was wanted, where servers have `time`
-/// to change: entries stop then, and agents have their servers changed by then.
+/// How long after a newer version was announced older weights still receive requests, if servers
+/// have `time` to change. Entries stop sending then, and agents have their servers changed by then.
 pub fn dispatch_time(time: Duration) -> Duration {
     time - START_MARGIN.min(time / MARGIN_DIVISOR)
 }
@@ -27,46 +28,47 @@
 struct Wanted {
     version: WeightVersion,
     learned: Moment,
-    /// How long it had been wanted when it was learnt, as others told.
+    /// Age of the announcement when it was learned, as reported by others.
     age: Duration,
 }
 
 impl Wanted {
-    /// How long it has been wanted.
+    /// Time since the version was announced.
     fn elapsed(&self, now: Moment) -> Duration {
         now.since(self.learned) + self.age
     }
 }
 
-/// A wanted version and how long it has been wanted.
+/// A wanted version and the time since it was announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WantedVersion {
     /// The version.
     pub version: WeightVersion,
-    /// Time since it was named, as far as this process or others know.
+    /// Time since the announcement, as far as this process or its peers know.
     pub elapsed: Duration,
 }
 
-/// Versions of a model that are remembered.
+/// Maximum number of versions remembered per model.
 const MAX_VERSIONS: usize = 16;
 
-/// The wanted versions of each model, oldest first, with the moments at which they were learnt.
+/// The wanted versions of each model, oldest first, with the time each was learned.
 #[derive(Debug, Default)]
 pub struct WeightDeadlines {
     models: HashMap<ModelName, Vec<Wanted>>,
 }
 
 impl WeightDeadlines {
-    /// Takes in a wanted version. Tells whether it is news.
+    /// Records a wanted version. Returns whether it is new.
     pub fn learn(&mut self, now: Moment, model: &ModelName, version: WeightVersion) -> bool {
         self.learn_with_age(now, model, version, Duration::ZERO)
     }
 
-    /// Takes in a wanted version that somebody else has known for `age`, also where it is known
-    /// here for less long: a process that has just started must not begin to count anew.
+    /// Records a wanted version that a peer has known for `age`. The larger age wins even if the
+    /// version has been known here for less time, so that a process that has just started does not
+    /// restart the countdown.
     ///
-    /// An older version than those known is taken in as well. What a server holds may be used until the
-    /// first newer version is due, not the newest.
+    /// A version older than the known ones is recorded as well: the weights that a server holds may
+    /// be used until the first newer version is due, not the newest one.
     pub fn learn_with_age(
         &mut self,
         now: Moment,
@@ -91,9 +93,9 @@
         true
     }
 
-    /// What others are told, where servers have `time` to change: the newest version whose time is over
-    /// and all that came after it. The newest alone would have a process that has just started count the
-    /// end of older weights from it, which is too late.
+    /// Notices for peers, if servers have `time` to change: the newest version whose deadline has
+    /// passed and all later ones. Given the newest alone, a process that has just started would
+    /// count the deadline of older weights from it, which is too late.
     pub fn notices(&self, now: Moment, time: Duration) -> Vec<WantedNotice> {
         let told = self.models.iter().flat_map(|(model, wanted)| {
             let over = wanted.iter().rposition(|one| one.elapsed(now) >= time);
@@ -119,7 +121,7 @@
         self.models.get(model)?.last().map(|wanted| wanted.version)
     }
 
-    /// The least version that a request may start on, given the time that servers have to change.
+    /// The oldest version on which a request may start, if servers have `time` to change.
     pub fn min_version(
         &self,
         now: Moment,
@@ -132,11 +134,11 @@
         past.map(|one| one.version).max()
     }
 
-    /// Time for which a server with `version` may work on what it is sent now; none for as long as
-    /// no newer version is wanted.
+    /// Time for which a server with `version` may work on a request sent now; `None` while no newer
+    /// version is wanted.
     ///
-    /// A server that is cut off may keep a request and run it much later; it stops at the deadline
-    /// that it was given.
+    /// A server that is cut off may hold a request and run it much later; it stops at the deadline
+    /// it was given.
     pub fn work_time(
         &self,
         now: Moment,
