--- a/crates/core/tests/manifest_source.rs
+++ b/crates/core/tests/manifest_source.rs
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn all_of_them_ask_the_origin_in_the_end() {
+fn every_agent_eventually_asks_the_origin() {
     expect_that!(manifest_source(&view(75, 600)), eq(ManifestSource::Wait));
     expect_that!(manifest_source(&view(75, 2_000)), eq(ManifestSource::Wait));
     expect_that!(manifest_source(&view(75, 9_100)), eq(ManifestSource::Origin));
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn an_agent_that_has_just_started_waits_to_hear_of_others() {
+fn an_agent_that_has_just_started_waits_to_discover_peers() {
     let alone = ManifestView { is_alone: true, ..view(0, 0) };
     expect_that!(manifest_source(&alone), eq(ManifestSource::Wait));
     let settled = ManifestView { waited: Duration::from_millis(900), ..alone };
@@ -77,7 +77,7 @@
 /// After a loss of power everywhere agents find each other within seconds; those that read the origin
 /// before fill its connections, and nobody has the manifest for long.
 #[gtest]
-fn an_agent_that_still_finds_others_leaves_the_origin_alone() {
+fn an_agent_that_still_discovers_peers_does_not_read_the_origin() {
     let finding = ManifestView { steady: Duration::from_millis(100), ..view(0, 1_000) };
     expect_that!(manifest_source(&finding), eq(ManifestSource::Wait));
     let steady = ManifestView { steady: Duration::from_millis(400), ..finding };
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn no_more_agents_read_the_origin_than_it_takes() {
+fn readers_of_the_origin_are_limited() {
     let reading = |waited_ms: u64| {
         let asks =
             |rank: &usize| manifest_source(&view(*rank, waited_ms)) == ManifestSource::Origin;
--- a/crates/core/tests/request_digest.rs
+++ b/crates/core/tests/request_digest.rs
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn a_query_that_changes_leaves_one_digest_as_it_was() {
+fn a_changed_query_changes_only_one_digest() {
     let first = RequestDigests::of(&CONTENT);
     let other = RequestDigests::of(&RequestContent { query: Some("n=2"), ..CONTENT });
     expect_that!(first.whole, not(eq(other.whole)));
@@ -30,7 +30,7 @@
 
 /// Nobody's content may stand for another caller's, and no part may run into the next.
 #[gtest]
-fn every_part_tells_contents_apart() {
+fn every_part_changes_the_digests() {
     let others = [
         RequestContent { caller: Some("t2"), ..CONTENT },
         RequestContent { caller: None, ..CONTENT },
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn a_digest_reads_as_it_is_written() {
+fn a_digest_parses_from_its_displayed_form() {
     let digest = RequestDigest(0x00ab_cdef_0123_4567);
     expect_that!(digest.to_string(), eq("00abcdef01234567"));
     expect_that!("00abcdef01234567".parse::<RequestDigest>(), ok(eq(&digest)));
--- a/crates/core/tests/shedding.rs
+++ b/crates/core/tests/shedding.rs
@@ -47,7 +47,7 @@
 const IDLE: EngineHeadroom = EngineHeadroom::Best(EngineLoad { in_flight: 0, waiting_tokens: 0 });
 
 #[gtest]
-fn nobody_is_refused_while_an_engine_is_idle() {
+fn nothing_is_rejected_while_an_engine_is_idle() {
     // Objectives that even a usual prompt misses are no reason to leave engines empty.
     for objective in [0, 50, 150, 400, 10_000] {
         let mut shedder = LoadShedder::default();
@@ -56,14 +56,14 @@
 }
 
 #[gtest]
-fn what_was_refused_before_says_nothing_once_engines_are_free() {
+fn nothing_is_rejected_once_engines_are_idle_again() {
     let mut shedder = LoadShedder::default();
     expect_that!(refused(&mut shedder, 0, EngineHeadroom::Full, 400), gt(0.8));
     expect_that!(refused(&mut shedder, 8000, IDLE, 400), eq(0.0));
 }
 
 #[gtest]
-fn more_are_refused_the_longer_the_wait_is() {
+fn the_rejected_share_grows_with_the_wait() {
     let waiting = [0, 1000, 2000, 3000, 4000];
     let parts = waiting.map(|waiting_tokens| {
         let room = EngineHeadroom::Best(EngineLoad { in_flight: 16, waiting_tokens });
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn a_kind_with_a_long_objective_does_not_fill_engines_for_the_others() {
+fn a_kind_with_a_long_objective_does_not_fill_engines() {
     let (service, figures): (Arc<str>, _) = ("llm".into(), figures());
     let room = EngineHeadroom::Best(EngineLoad { in_flight: 17, waiting_tokens: 3000 });
     let mut shedder = LoadShedder::default();
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn a_content_keeps_its_lot_for_a_while_and_is_then_drawn_anew() {
+fn a_content_keeps_its_rank_for_one_period() {
     let begin = Duration::from_secs(1_000_000);
     let rank_after = |content, seconds| {
         ShedRank::new(RequestDigest(content), begin + Duration::from_secs(seconds))
@@ -143,7 +143,7 @@
 }
 
 #[gtest]
-fn services_do_not_count_for_each_other() {
+fn services_are_independent() {
     let mut shedder = LoadShedder::default();
     let _ = refused(&mut shedder, 0, EngineHeadroom::Full, 400);
     let (service, figures): (Arc<str>, _) = ("other".into(), figures());
--- a/crates/core/tests/size_class.rs
+++ b/crates/core/tests/size_class.rs
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn a_kind_whose_requests_are_all_alike_has_no_large_ones() {
+fn requests_of_equal_size_are_never_large() {
     let mut ranks = SizeRanks::default();
     let kind: Arc<str> = "empty".into();
     let classes: Vec<SizeClass> =
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn sizes_that_change_are_ranked_anew() {
+fn ranks_follow_changing_sizes() {
     let mut ranks = SizeRanks::default();
     let kind: Arc<str> = "drafts".into();
     (0..300).for_each(|_| _ = ranks.record(&kind, ByteSize::from_bytes(100)));
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -53,7 +53,7 @@
 const MOST_LATE: f64 = 0.25;
 
 /// Time after which entries of a failure domain know each other's loads.
-const TELLING_TIME: Duration = Duration::from_millis(5);
+const LOAD_EXCHANGE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// One step of the world.
 const TICK: Duration = Duration::from_millis(1);
@@ -101,14 +101,14 @@
 #[derive(Debug, Clone)]
 struct Job {
     kind: usize,
-    came: Moment,
+    arrived: Moment,
     prompt: u64,
     answer: u64,
     entry: usize,
     /// What the caller sends, which tells that the same request comes again.
     content: RequestDigest,
     /// It has been refused once.
-    came_back: bool,
+    is_retry: bool,
     server: Option<ChosenServer>,
     first: Option<Moment>,
 }
@@ -128,15 +128,15 @@
 #[derive(Debug, Default)]
 struct KindOutcome {
     /// Prompt and whether it was served, and whether in time.
-    fates: Vec<(u64, bool, bool)>,
+    results: Vec<(u64, bool, bool)>,
 }
 
 impl KindOutcome {
     fn share(&self, of: impl Fn(usize, usize) -> bool) -> f64 {
-        let mut fates = self.fates.clone();
-        fates.sort();
-        let count = fates.len();
-        let chosen = fates.iter().enumerate().filter(|(index, _)| of(*index, count));
+        let mut results = self.results.clone();
+        results.sort();
+        let count = results.len();
+        let chosen = results.iter().enumerate().filter(|(index, _)| of(*index, count));
         let served: Vec<bool> = chosen.map(|(_, (_, served, _))| *served).collect();
         served.iter().filter(|served| **served).count() as f64 / served.len().max(1) as f64
     }
@@ -152,22 +152,22 @@
     }
 
     fn late(&self) -> f64 {
-        let served: Vec<_> = self.fates.iter().filter(|(_, served, _)| *served).collect();
+        let served: Vec<_> = self.results.iter().filter(|(_, served, _)| *served).collect();
         served.iter().filter(|(_, _, in_time)| !in_time).count() as f64 / served.len() as f64
     }
 }
 
 /// Engines, entries and callers in virtual time.
-struct World {
+struct Simulation {
     figures: EngineFigures,
     engines: Vec<Engine>,
     tables: Vec<ServerTable>,
     /// What refuses a part of the requests at each entry.
     shedders: Vec<LoadShedder>,
     /// Whether callers come back once after a refusal.
-    callers_return: bool,
+    callers_retry: bool,
     /// Those who will, and when.
-    returning: Vec<(Moment, Job)>,
+    retries: Vec<(Moment, Job)>,
     outcomes: Vec<KindOutcome>,
     random: SmallRng,
     now: Moment,
@@ -207,7 +207,7 @@
     engines as f64 / (reading + writing)
 }
 
-impl World {
+impl Simulation {
     fn new(engines: usize, entries: usize, load: f64, seed: u64) -> Self {
         let figures = figures();
         let zone: DomainId = "z".parse().expect("a name");
@@ -223,8 +223,8 @@
             rate: capacity(&figures, engines) * load,
             tables: (0..entries).map(|_| table()).collect(),
             shedders: (0..entries).map(|_| LoadShedder::default()).collect(),
-            callers_return: false,
-            returning: Vec::new(),
+            callers_retry: false,
+            retries: Vec::new(),
             engines: (0..engines).map(|_| Engine::default()).collect(),
             outcomes: KINDS.iter().map(|_| KindOutcome::default()).collect(),
             random: SmallRng::seed_from_u64(seed),
@@ -240,10 +240,10 @@
             let chance = self.rate * TICK.as_secs_f64();
             let arrivals = chance as usize + usize::from(self.random.random_bool(chance.fract()));
             (0..arrivals).for_each(|_| self.arrive());
-            self.come_back();
-            if self.now.since(told) >= TELLING_TIME {
+            self.retry_due();
+            if self.now.since(told) >= LOAD_EXCHANGE_INTERVAL {
                 told = self.now;
-                self.tell_loads();
+                self.exchange_loads();
             }
             (0..self.engines.len()).for_each(|index| self.pass(index));
         }
@@ -266,12 +266,12 @@
         let (prompt, answer) = (KINDS[kind].mean_prompt, KINDS[kind].mean_answer);
         let job = Job {
             kind,
-            came: self.now,
+            arrived: self.now,
             prompt: (self.size(prompt) as u64).clamp(40, KINDS[kind].most_prompt),
             answer: (self.size(answer) as u64).clamp(5, 250),
             entry: self.random.random_range(0..self.tables.len()),
             content: RequestDigest(self.random.random()),
-            came_back: false,
+            is_retry: false,
             server: None,
             first: None,
         };
@@ -279,9 +279,9 @@
     }
 
     /// Has those ask again whose time has come.
-    fn come_back(&mut self) {
+    fn retry_due(&mut self) {
         let now = self.now;
-        let due = self.returning.extract_if(.., |(at, _)| *at <= now);
+        let due = self.retries.extract_if(.., |(at, _)| *at <= now);
         let due: Vec<Job> = due.map(|(_, job)| job).collect();
         due.into_iter().for_each(|job| self.ask(job));
     }
@@ -315,12 +315,12 @@
                 let engine = &mut self.engines[index.expect("it is one of them")];
                 engine.queue.push_back(Job { server: Some(server), ..job });
             }
-            _ if self.callers_return && !job.came_back => {
+            _ if self.callers_retry && !job.is_retry => {
                 let rest = Duration::from_millis(self.random.random_range(700..1700));
                 let entry = self.random.random_range(0..self.tables.len());
-                self.returning.push((self.now + rest, Job { came_back: true, entry, ..job }));
+                self.retries.push((self.now + rest, Job { is_retry: true, entry, ..job }));
             }
-            _ => self.outcomes[kind].fates.push((job.prompt, false, false)),
+            _ => self.outcomes[kind].results.push((job.prompt, false, false)),
         }
     }
 
@@ -358,14 +358,14 @@
         for (job, _) in ended {
             let server = job.server.as_ref().expect("it has been sent");
             self.tables[job.entry].end(self.now, &server.id, ServerOutcome::Answered);
-            let first = job.first.expect("it has been read").since(job.came);
+            let first = job.first.expect("it has been read").since(job.arrived);
             let in_time = first <= KINDS[job.kind].objective;
-            self.outcomes[job.kind].fates.push((job.prompt, true, in_time));
+            self.outcomes[job.kind].results.push((job.prompt, true, in_time));
         }
     }
 
     /// Tells each entry what the others have in progress.
-    fn tell_loads(&mut self) {
+    fn exchange_loads(&mut self) {
         let loads: Vec<_> = self.tables.iter().map(ServerTable::own_loads).collect();
         for (index, table) in self.tables.iter_mut().enumerate() {
             let mut others: HashMap<u32, EngineLoad> = HashMap::new();
@@ -408,42 +408,42 @@
 const PAST_CAPACITY: [(usize, f64); 2] = [(1, 1.4), (6, 2.0)];
 
 #[gtest]
-fn large_requests_are_served_as_the_others_past_capacity() {
+fn large_requests_are_not_starved_past_capacity() {
     for (entries, load) in PAST_CAPACITY {
         for seed in 1..=3 {
-            let world = World::new(12, entries, load, seed).run(Duration::from_secs(60));
-            world.check_large_ones_are_served();
+            let simulation = Simulation::new(12, entries, load, seed).run(Duration::from_secs(60));
+            simulation.check_large_ones_are_served();
         }
     }
 }
 
 #[gtest]
-fn kinds_are_served_alike_past_capacity() {
+fn kinds_are_served_evenly_past_capacity() {
     for (entries, load) in PAST_CAPACITY {
-        let world = World::new(12, entries, load, 1).run(Duration::from_secs(60));
-        let shares: Vec<f64> = world.outcomes.iter().map(KindOutcome::all).collect();
+        let simulation = Simulation::new(12, entries, load, 1).run(Duration::from_secs(60));
+        let shares: Vec<f64> = simulation.outcomes.iter().map(KindOutcome::all).collect();
         let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-        expect_that!(shares, each(ge(&(mean * LEAST_RELATIVE))), "{:#?}", world.table());
+        expect_that!(shares, each(ge(&(mean * LEAST_RELATIVE))), "{:#?}", simulation.table());
     }
 }
 
 #[gtest]
-fn callers_who_come_back_take_few_places() {
+fn retries_displace_few_other_requests() {
     for (entries, load) in PAST_CAPACITY {
-        let mut world = World::new(12, entries, load, 1);
-        world.callers_return = true;
-        let world = world.run(Duration::from_secs(60));
-        world.check_large_ones_are_served();
-        for outcome in &world.outcomes {
-            expect_that!(outcome.late(), le(MOST_LATE), "{:#?}", world.table());
+        let mut simulation = Simulation::new(12, entries, load, 1);
+        simulation.callers_retry = true;
+        let simulation = simulation.run(Duration::from_secs(60));
+        simulation.check_large_ones_are_served();
+        for outcome in &simulation.outcomes {
+            expect_that!(outcome.late(), le(MOST_LATE), "{:#?}", simulation.table());
         }
     }
 }
 
 #[gtest]
-fn few_are_refused_while_engines_have_room() {
-    let world = World::new(12, 6, 0.6, 1).run(Duration::from_secs(60));
-    for outcome in &world.outcomes {
-        expect_that!(outcome.all(), ge(0.98), "{:#?}", world.table());
+fn few_requests_are_rejected_below_capacity() {
+    let simulation = Simulation::new(12, 6, 0.6, 1).run(Duration::from_secs(60));
+    for outcome in &simulation.outcomes {
+        expect_that!(outcome.all(), ge(0.98), "{:#?}", simulation.table());
     }
 }
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn a_check_of_long_ago_is_made_again() {
+fn an_expired_check_is_repeated() {
     let mut stage = Stage::ready();
     stage.stage.checked = Some(Moment::ZERO);
     let old = StageStep::Check;
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn an_order_without_an_answer_is_not_repeated_until_the_report_tells() {
+fn an_unanswered_order_is_not_repeated_before_the_report_shows_its_effect() {
     let mut stage = Stage::ready();
     let expected = OrderSequence(0);
     let order = GivenOrder { version: WeightVersion(2), given: at(990), answer: None, expected };
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn a_refused_order_is_given_again() {
+fn a_refused_order_is_issued_again() {
     let mut stage = Stage::ready();
     let answer = Some(OrderAnswer::Conflict);
     let expected = OrderSequence(0);
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn the_next_version_may_be_laid_while_the_last_is_taken_but_not_ordered() {
+fn the_next_version_may_be_staged_but_not_ordered_while_the_last_is_loaded() {
     let mut stage = Stage::ready();
     let answer = Some(OrderAnswer::Begun);
     let expected = OrderSequence(0);
@@ -130,7 +130,7 @@
 }
 
 #[gtest]
-fn servers_change_in_turns_and_all_before_the_end() {
+fn servers_change_in_turns_and_all_before_the_deadline() {
     let time = Duration::from_secs(8);
     let waits = TurnView { rank: 0, done: false, ready: true, changing: false };
     let others = [waits];
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn an_older_version_goes_first_only_where_the_newest_comes_too_late() {
+fn an_older_version_goes_first_only_if_the_newest_is_too_late() {
     // All but here, and the newest would miss its deadline.
     let pressing = [wanted(2, 8000, 300), wanted(3, 12_000, 4000)];
     expect_that!(next_version(at(4000), &pressing), some(eq(WeightVersion(2))));
@@ -196,7 +196,7 @@
 /// second 30: 274 of 918 answered in time, second 32: 676 of 916
 /// ```
 #[gtest]
-fn a_version_that_is_nearly_whole_is_used_although_a_newer_one_is_named() {
+fn a_nearly_complete_version_is_used_although_a_newer_one_is_announced() {
     let (older, newer) = (wanted(2, 32_100, 1900), wanted(3, 36_100, 5700));
     expect_that!(next_version(at(24_300), &[older, newer]), some(eq(WeightVersion(2))));
     // Named two seconds apart, with little of the older one here: one change less.
@@ -206,7 +206,7 @@
 
 /// The last turn begins before entries send nothing more to older weights, however long the time to change.
 #[gtest]
-fn turns_end_before_older_weights_are_sent_nothing_more() {
+fn the_last_turn_starts_before_older_weights_stop_receiving_requests() {
     let waits = |rank| TurnView { rank, done: false, ready: true, changing: false };
     let others: Vec<TurnView> = (0..75).map(waits).collect();
     for time in [millis(8000), millis(10_000), millis(13_400)] {
@@ -219,7 +219,7 @@
 
 /// What lies before older weights' end answers a fixed cause, and so is a time and no share.
 #[gtest]
-fn older_weights_are_sent_requests_until_a_fixed_time_before_the_end() {
+fn older_weights_receive_requests_until_a_fixed_time_before_the_deadline() {
     expect_that!(dispatch_time(millis(8000)), eq(millis(6400)));
     expect_that!(dispatch_time(millis(13_400)), eq(millis(11_800)));
     // Where hardly any time is given, three quarters of it are kept.
--- a/crates/core/tests/stream_timing.rs
+++ b/crates/core/tests/stream_timing.rs
@@ -10,7 +10,7 @@
 }
 
 #[gtest]
-fn the_first_event_and_the_longest_pause_are_kept() {
+fn the_first_event_and_the_longest_pause_are_recorded() {
     let mut timing = StreamTiming::default();
     expect_that!(timing.first(), none());
     [120, 160, 460, 500].into_iter().for_each(|millis| timing.note_event(at(millis)));
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn one_event_has_no_pause() {
+fn a_single_event_has_no_pause() {
     let mut timing = StreamTiming::default();
     timing.note_event(at(50));
     expect_that!(timing.longest_pause(), eq(Duration::ZERO));
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -29,14 +29,14 @@
 }
 
 /// Tells everything that `from` has to tell.
-fn tell(from: &SuspectTable, to: &mut SuspectTable, millis: u64) {
+fn send_notices(from: &SuspectTable, to: &mut SuspectTable, millis: u64) {
     for notice in from.notices(at(millis)) {
         let _ = to.apply(at(millis), notice);
     }
 }
 
 #[gtest]
-fn a_request_that_never_brought_anything_is_refused_after_two_ends() {
+fn a_request_without_output_is_refused_after_two_ends() {
     let mut table = SuspectTable::default();
     expect_that!(silent(&mut table, 0, 1, 1), eq(false));
     expect_that!(table.is_refused(at(1), HARMFUL), eq(false));
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn one_that_had_brought_a_part_of_its_answer_is_refused_after_three() {
+fn a_request_with_partial_output_is_refused_after_three_ends() {
     let mut table = SuspectTable::default();
     expect_that!(end(&mut table, 0, 1, 1, ProgressAtEnd::PartialOutput), eq(false));
     expect_that!(silent(&mut table, 300, 1, 2), eq(false));
@@ -55,7 +55,7 @@
 
 /// Several entries may see the same end, and hear of it again from others.
 #[gtest]
-fn the_end_of_one_life_counts_once() {
+fn an_end_reported_twice_counts_once() {
     let mut table = SuspectTable::default();
     for millis in 0..50 {
         expect_that!(silent(&mut table, millis, 1, 1), eq(false));
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn one_run_to_its_end_clears_a_suspect() {
+fn a_completed_run_clears_a_suspect() {
     let mut table = SuspectTable::default();
     silent(&mut table, 0, 1, 1);
     expect_that!(table.record_completion(at(100), HARMFUL), eq(&SuspectChange::None));
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn a_quarantine_ends_some_time_after_the_last_coming() {
+fn a_quarantine_expires_after_the_last_arrival() {
     let mut table = SuspectTable::default();
     silent(&mut table, 0, 1, 1);
     silent(&mut table, 300, 1, 2);
@@ -95,7 +95,7 @@
 
 /// A caller may make servers end under different requests on purpose.
 #[gtest]
-fn a_flood_of_suspects_is_bounded_and_keeps_what_is_refused() {
+fn a_flood_of_suspects_is_bounded_and_keeps_refused_requests() {
     let mut table = SuspectTable::default();
     silent(&mut table, 0, 1, 1);
     silent(&mut table, 300, 1, 2);
@@ -114,34 +114,34 @@
 }
 
 #[gtest]
-fn entries_that_saw_one_end_each_refuse_it_together() {
+fn ends_seen_by_different_entries_add_up() {
     let (mut first, mut second) = (SuspectTable::default(), SuspectTable::default());
     silent(&mut first, 0, 1, 1);
-    tell(&first, &mut second, 100);
+    send_notices(&first, &mut second, 100);
     silent(&mut second, 400, 1, 2);
     expect_that!(second.is_refused(at(400), HARMFUL), eq(true));
-    tell(&second, &mut first, 500);
+    send_notices(&second, &mut first, 500);
     expect_that!(first.is_refused(at(500), HARMFUL), eq(true));
 }
 
 /// Whoever comes late, or was cut off while it was told, hears of a quarantine within a second and
 /// a fifth of any other entry.
 #[gtest]
-fn an_entry_that_has_heard_nothing_is_told_what_is_refused_each_second() {
+fn an_uninformed_entry_learns_refused_requests_within_a_second() {
     let (mut first, mut late) = (SuspectTable::default(), SuspectTable::default());
     silent(&mut first, 0, 1, 1);
     silent(&mut first, 300, 1, 2);
     let from = 60_030;
-    let told = (0..).map(|tick| from + tick * 100).find(|millis| {
-        tell(&first, &mut late, *millis);
+    let learned_at = (0..).map(|tick| from + tick * 100).find(|millis| {
+        send_notices(&first, &mut late, *millis);
         late.is_refused(at(*millis), HARMFUL)
     });
-    expect_that!(told, some(le(from + 1000)));
+    expect_that!(learned_at, some(le(from + 1000)));
     // What is told on and on does not make it last longer.
     let left = |table: &SuspectTable, millis| table.refused(at(millis))[0].left;
     for millis in (61_000..90_000).step_by(100) {
-        tell(&first, &mut late, millis);
-        tell(&late, &mut first, millis);
+        send_notices(&first, &mut late, millis);
+        send_notices(&late, &mut first, millis);
     }
     expect_that!(left(&first, 90_000), le(QUARANTINE_TIME - Duration::from_millis(89_700)));
     expect_that!(left(&late, 90_000), le(QUARANTINE_TIME - Duration::from_millis(89_700)));
@@ -150,7 +150,7 @@
 /// Failure domains that are cut off from each other count by themselves and join their counts
 /// afterwards.
 #[gtest]
-fn counts_are_joined_after_a_cut() {
+fn counts_are_merged_after_a_partition() {
     let (mut here, mut there) = (SuspectTable::default(), SuspectTable::default());
     for (life, table) in [(1, &mut here), (2, &mut there)] {
         end(table, 0, 1, life, ProgressAtEnd::PartialOutput);
@@ -158,8 +158,8 @@
     }
     expect_that!(here.is_refused(at(6000), HARMFUL), eq(false));
     for millis in (6000..7100).step_by(100) {
-        tell(&there, &mut here, millis);
-        tell(&here, &mut there, millis);
+        send_notices(&there, &mut here, millis);
+        send_notices(&here, &mut there, millis);
     }
     expect_that!(here.is_refused(at(7100), HARMFUL), eq(true));
     expect_that!(there.is_refused(at(7100), HARMFUL), eq(true));
@@ -168,30 +168,30 @@
 /// A page that many callers ask for is in progress at every server of its service: where several of
 /// these are lost at once, all entries see ends under it in the same moment.
 #[gtest]
-fn a_page_that_ran_well_somewhere_is_served_on_everywhere() {
-    let (mut knows, mut accuses) = (SuspectTable::default(), SuspectTable::default());
-    let _ = knows.record_completion(at(0), HARMFUL);
+fn a_request_that_completed_at_one_entry_is_served_by_all() {
+    let (mut informed, mut suspecting) = (SuspectTable::default(), SuspectTable::default());
+    let _ = informed.record_completion(at(0), HARMFUL);
     for life in 1..4 {
-        silent(&mut accuses, 1000, 1, life);
+        silent(&mut suspecting, 1000, 1, life);
     }
-    expect_that!(accuses.is_refused(at(1000), HARMFUL), eq(true));
-    tell(&accuses, &mut knows, 1100);
-    expect_that!(knows.is_refused(at(1100), HARMFUL), eq(false));
-    tell(&knows, &mut accuses, 1200);
-    expect_that!(accuses.is_refused(at(1200), HARMFUL), eq(false));
+    expect_that!(suspecting.is_refused(at(1000), HARMFUL), eq(true));
+    send_notices(&suspecting, &mut informed, 1100);
+    expect_that!(informed.is_refused(at(1100), HARMFUL), eq(false));
+    send_notices(&informed, &mut suspecting, 1200);
+    expect_that!(suspecting.is_refused(at(1200), HARMFUL), eq(false));
     // Old word of it that comes round again is not believed.
     let refused = SuspectNotice::Refused { digest: HARMFUL, left: QUARANTINE_TIME };
-    expect_that!(accuses.apply(at(1300), refused), eq(&SuspectChange::None));
+    expect_that!(suspecting.apply(at(1300), refused), eq(&SuspectChange::None));
 }
 
 #[gtest]
-fn an_operator_can_have_a_request_served_again_and_it_is_judged_anew() {
+fn an_operator_can_lift_a_quarantine_and_counting_restarts() {
     let (mut first, mut second) = (SuspectTable::default(), SuspectTable::default());
     silent(&mut first, 0, 1, 1);
     silent(&mut first, 300, 1, 2);
-    tell(&first, &mut second, 400);
+    send_notices(&first, &mut second, 400);
     expect_that!(first.lift(at(1000), HARMFUL), eq(&SuspectChange::Cleared { was_refused: true }));
-    tell(&first, &mut second, 1100);
+    send_notices(&first, &mut second, 1100);
     expect_that!(second.is_refused(at(1100), HARMFUL), eq(false));
     silent(&mut first, 2000, 1, 3);
     expect_that!(silent(&mut first, 2300, 1, 4), eq(true));
@@ -199,7 +199,7 @@
 
 /// Servers that are lost together end within a moment in which a request may go from one to the next.
 #[gtest]
-fn two_ends_in_one_moment_are_no_proof_but_three_are() {
+fn two_simultaneous_ends_do_not_suffice_but_three_do() {
     let mut table = SuspectTable::default();
     expect_that!(silent(&mut table, 0, 1, 1), eq(false));
     expect_that!(silent(&mut table, 100, 1, 2), eq(false));
@@ -207,7 +207,7 @@
 }
 
 /// One world: requests come to entries and run at servers that end under harmful ones.
-struct World {
+struct Simulation {
     entries: Vec<SuspectTable>,
     rng: SmallRng,
     lives: u32,
@@ -215,17 +215,17 @@
     harmful_ends: u32,
     /// Sound requests that were refused, and all of them.
     refused: u32,
-    sound: u32,
+    harmless: u32,
 }
 
 /// Requests of each server that are sound and in progress when it ends.
-const BESIDE: usize = 12;
+const HARMLESS_PER_SERVER: usize = 12;
 
-impl World {
+impl Simulation {
     fn new(seed: u64, entries: usize) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
         let entries = vec![SuspectTable::default(); entries];
-        Self { entries, rng, lives: 0, harmful_ends: 0, refused: 0, sound: 0 }
+        Self { entries, rng, lives: 0, harmful_ends: 0, refused: 0, harmless: 0 }
     }
 
     /// A server ends: every request that it had is a suspect at the entry that sent it.
@@ -237,7 +237,7 @@
     }
 
     /// Everybody hears everybody, but for one notice in ten.
-    fn tell_all(&mut self, now: Moment) {
+    fn exchange_notices(&mut self, now: Moment) {
         for from in 0..self.entries.len() {
             for notice in self.entries[from].notices(now) {
                 for to in 0..self.entries.len() {
@@ -251,9 +251,9 @@
 
     /// Sound requests that were in progress are tried again at the same entry; `ends` of them meet
     /// another end.
-    fn try_again(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
+    fn retry(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
         for (entry, digest, _) in requests {
-            self.sound += 1;
+            self.harmless += 1;
             if self.entries[*entry].is_refused(now, *digest) {
                 self.refused += 1;
             } else {
@@ -262,13 +262,13 @@
         }
     }
 
-    fn sound_requests(&mut self) -> Vec<(usize, RequestDigest, ProgressAtEnd)> {
+    fn harmless_requests(&mut self) -> Vec<(usize, RequestDigest, ProgressAtEnd)> {
         let count = self.entries.len();
         let mut request = || {
             let run = self.run();
             (self.rng.random_range(0..count), RequestDigest(self.rng.random()), run)
         };
-        (0..BESIDE).map(|_| request()).collect()
+        (0..HARMLESS_PER_SERVER).map(|_| request()).collect()
     }
 
     /// One request in five waits for its first event.
@@ -285,65 +285,65 @@
 /// up to two servers, with a dozen sound requests each. Two in ten sound ones that are continued meet
 /// the second of these ends as well.
 #[gtest]
-fn a_harmful_request_ends_few_servers_and_hardly_a_sound_one_is_refused() {
-    let (mut refused, mut sound) = (0, 0);
+fn a_harmful_request_ends_few_servers_and_few_harmless_ones_are_refused() {
+    let (mut refused, mut harmless) = (0, 0);
     for seed in 0..20 {
-        let mut world = World::new(seed, 7);
+        let mut simulation = Simulation::new(seed, 7);
         for tick in 0..400u64 {
             let now = at(tick * 100);
-            world.tell_all(now);
+            simulation.exchange_notices(now);
             if tick % 5 != 0 {
                 continue;
             }
-            let entry = world.rng.random_range(0..7);
-            let mut again = Vec::new();
+            let entry = simulation.rng.random_range(0..7);
+            let mut retried = Vec::new();
             for _ in 0..2 {
-                if world.entries[entry].record_arrival(now, HARMFUL).is_some() {
+                if simulation.entries[entry].record_arrival(now, HARMFUL).is_some() {
                     break;
                 }
-                world.harmful_ends += 1;
-                let mut requests = world.sound_requests();
-                requests.truncate(BESIDE - again.len());
-                requests.append(&mut again);
+                simulation.harmful_ends += 1;
+                let mut requests = simulation.harmless_requests();
+                requests.truncate(HARMLESS_PER_SERVER - retried.len());
+                requests.append(&mut retried);
                 requests.push((entry, HARMFUL, ProgressAtEnd::NoOutput));
-                world.end_server(now, &requests);
+                simulation.end_server(now, &requests);
                 requests.pop();
-                again = requests.split_off(BESIDE * 8 / 10);
-                again.iter_mut().for_each(|(_, _, run)| *run = world.run());
-                world.try_again(now, &requests);
+                retried = requests.split_off(HARMLESS_PER_SERVER * 8 / 10);
+                retried.iter_mut().for_each(|(_, _, run)| *run = simulation.run());
+                simulation.retry(now, &requests);
             }
-            world.try_again(now, &again);
+            simulation.retry(now, &retried);
         }
-        expect_that!(world.harmful_ends, le(3), "seed {seed}");
-        refused += world.refused;
-        sound += world.sound;
+        expect_that!(simulation.harmful_ends, le(3), "seed {seed}");
+        refused += simulation.refused;
+        harmless += simulation.harmless;
     }
     // One in fifty of those that a harmful request disturbs at all.
-    expect_that!(refused * 50, le(sound), "of {sound}");
-    expect_that!(sound, gt(400));
+    expect_that!(refused * 50, le(harmless), "of {harmless}");
+    expect_that!(harmless, gt(400));
 }
 
 /// Servers crash and are killed in herds, again and again, with no harmful request among them.
 #[gtest]
-fn nobody_is_refused_where_servers_end_in_herds_under_sound_requests() {
+fn no_harmless_request_is_refused_after_correlated_server_ends() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 7);
+        let mut simulation = Simulation::new(seed, 7);
         for tick in 0..600u64 {
             let now = at(tick * 100);
-            world.tell_all(now);
+            simulation.exchange_notices(now);
             if tick % 50 != 0 {
                 continue;
             }
             // Three fifths of twelve servers at once; what they had is sent to those that live.
-            let mut again = Vec::new();
+            let mut retried = Vec::new();
             for _ in 0..7 {
-                let requests = world.sound_requests();
-                world.end_server(now, &requests);
-                again.extend(requests);
+                let requests = simulation.harmless_requests();
+                simulation.end_server(now, &requests);
+                retried.extend(requests);
             }
-            world.try_again(now + Duration::from_millis(300), &again);
+            simulation.retry(now + Duration::from_millis(300), &retried);
         }
-        expect_that!(world.refused, eq(0), "seed {seed}: of {}", world.sound);
-        expect_that!(world.sound, gt(900));
+        expect_that!(simulation.refused, eq(0), "seed {seed}: of {}", simulation.harmless);
+        expect_that!(simulation.harmless, gt(900));
     }
 }
--- a/crates/core/tests/transfer_rate.rs
+++ b/crates/core/tests/transfer_rate.rs
@@ -22,7 +22,7 @@
 }
 
 /// A transfer of which one piece has come each `pause` milliseconds.
-fn going(pause: u64, pieces: u32) -> TransferRate {
+fn transfer_in_progress(pause: u64, pieces: u32) -> TransferRate {
     let mut rate = TransferRate::default();
     for held in 0..=pieces {
         rate.record(at(u64::from(held) * pause), WeightVersion(2), held);
@@ -31,29 +31,29 @@
 }
 
 #[gtest]
-fn a_transfer_that_has_not_begun_takes_what_its_narrowest_link_takes_and_a_little_more() {
+fn a_transfer_that_has_not_started_is_estimated_from_its_narrowest_link() {
     let time = TransferRate::default().time_left(&view(2, 0));
     expect_that!(time, ge(Duration::from_millis(5400)));
     expect_that!(time, le(Duration::from_millis(6000)));
 }
 
 #[gtest]
-fn an_origin_at_half_its_rate_is_seen_by_the_pace_of_pieces() {
-    let time = going(90, 32).time_left(&view(2, 32));
+fn an_origin_at_half_its_rate_is_recognised_by_the_arrival_rate() {
+    let time = transfer_in_progress(90, 32).time_left(&view(2, 32));
     expect_that!(time, ge(Duration::from_millis(64 * 90)));
     expect_that!(time, le(Duration::from_millis(64 * 90 + 600)));
 }
 
 #[gtest]
-fn an_outage_leaves_what_the_links_take_from_now_on() {
-    let mut rate = going(45, 40);
+fn an_outage_falls_back_to_the_link_estimate() {
+    let mut rate = transfer_in_progress(45, 40);
     (0..100).for_each(|tick| rate.record(at(1800 + 60 * tick), WeightVersion(2), 40));
     expect_that!(rate.time_left(&view(2, 40)), le(Duration::from_millis(56 * 54 + 500)));
 }
 
 #[gtest]
-fn the_pace_of_one_version_says_nothing_of_another() {
-    let rate = going(400, 20);
+fn rates_of_different_versions_are_independent() {
+    let rate = transfer_in_progress(400, 20);
     expect_that!(rate.time_left(&view(3, 0)), eq(TransferRate::default().time_left(&view(3, 0))));
     expect_that!(rate.time_left(&view(2, 96)), eq(Duration::ZERO));
 }
