--- a/crates/core/tests/manifest_source.rs
+++ b/crates/core/tests/manifest_source.rs
@@ -57,8 +57,8 @@
     expect_that!(manifest_source(&settled), eq(ManifestSource::Origin));
 }
 
-/// Where all of two hundred agents ask the one that is the first to hold the manifest, none has an
-/// answer in time.
+/// If two hundred agents all ask the first holder of the manifest, none of them is answered in
+/// time.
 #[gtest]
 fn few_agents_ask_one_holder_at_once() {
     let holders = [holder(1)];
@@ -68,14 +68,14 @@
         matches!(manifest_source(&view), ManifestSource::Peer(_))
     };
     let asking = |near, waited_ms| (0..204).filter(|rank| asks(*rank, near, waited_ms)).count();
-    // Forty-one agents a failure domain.
+    // Forty-one agents per failure domain.
     expect_that!(asking(true, 0), eq(8 * 5));
     expect_that!(asking(false, 0), eq(2 * 5));
     expect_that!(asking(true, 1_000), eq(204));
 }
 
-/// After a loss of power everywhere agents find each other within seconds; those that read the origin
-/// before fill its connections, and nobody has the manifest for long.
+/// After a power loss everywhere, agents discover each other within seconds. Reading the origin
+/// before that exhausts its connections, and no agent has the manifest for a long time.
 #[gtest]
 fn an_agent_that_still_discovers_peers_does_not_read_the_origin() {
     let finding = ManifestView { steady: Duration::from_millis(100), ..view(0, 1_000) };
@@ -94,6 +94,6 @@
         (0..204).filter(asks).count()
     };
     expect_that!(reading(1_400), eq(MAX_READERS));
-    // Later on those that still lack it come one by one.
+    // Later, those that still lack it read one at a time.
     expect_that!(reading(9_000) - reading(8_000), le(10));
 }
--- a/crates/core/tests/request_digest.rs
+++ b/crates/core/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Digests that identify equal requests.
 
 use googletest::prelude::*;
 use headlatch_core::direct::request_digest::{RequestContent, RequestDigest, RequestDigests};
@@ -28,7 +28,7 @@
     expect_that!(none.iter().collect::<Vec<_>>(), eq(&vec![first.without_query]));
 }
 
-/// Nobody's content may stand for another caller's, and no part may run into the next.
+/// No caller's request may be taken for another caller's, and no part for its neighbour.
 #[gtest]
 fn every_part_changes_the_digests() {
     let others = [
--- a/crates/core/tests/shedding.rs
+++ b/crates/core/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! Whom entries refuse while engines are full.
+//! Which requests entries reject while engines are full.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
     ShedRank::new(RequestDigest(content), Duration::from_secs(1_000_000))
 }
 
-/// Contents of which this part was refused while the engines had this room, over some seconds.
+/// Share of contents rejected while the engines have this headroom, over several seconds.
 fn refused(shedder: &mut LoadShedder, from: u64, room: EngineHeadroom, objective: u64) -> f64 {
     let (service, figures): (Arc<str>, _) = ("llm".into(), figures());
     let objective = Duration::from_millis(objective);
@@ -48,7 +48,7 @@
 
 #[gtest]
 fn nothing_is_rejected_while_an_engine_is_idle() {
-    // Objectives that even a usual prompt misses are no reason to leave engines empty.
+    // Objectives that even a usual prompt misses do not justify idle engines.
     for objective in [0, 50, 150, 400, 10_000] {
         let mut shedder = LoadShedder::default();
         expect_that!(refused(&mut shedder, 0, IDLE, objective), eq(0.0), "{objective} ms");
@@ -97,7 +97,7 @@
     }
     let refused = patient.iter().filter(|refused| **refused).count();
     expect_that!(refused, gt(1000));
-    // A kind that hardly anybody asks for bounds nobody else, once enough have asked to tell.
+    // A rare kind does not limit others, once enough requests have arrived to tell.
     let mut shedder = LoadShedder::default();
     for content in 0..2000 {
         let objective = Duration::from_millis(if content % 100 == 0 { 400 } else { 10_000 });
@@ -122,7 +122,7 @@
         ShedRank::new(RequestDigest(content), begin + Duration::from_secs(seconds))
     };
     let contents = 0..1000;
-    // Who is back within three seconds has the same lot in nine of ten cases, at whatever entry.
+    // A retry within three seconds has the same rank in nine of ten cases, at any entry.
     let kept =
         contents.clone().filter(|content| rank_after(*content, 0) == rank_after(*content, 3));
     expect_that!(kept.count(), ge(850));
@@ -130,14 +130,14 @@
     let kept =
         contents.clone().filter(|content| rank_after(*content, 0) == rank_after(*content, long));
     expect_that!(kept.count(), eq(0));
-    // Lots stand evenly between 0 and 1.
+    // Ranks are evenly distributed between 0 and 1.
     let mut ranks: Vec<f64> = contents.map(|content| share_below(rank(content))).collect();
     ranks.sort_by(f64::total_cmp);
     expect_that!(ranks[100], near(0.1, 0.05));
     expect_that!(ranks[900], near(0.9, 0.05));
 }
 
-/// The part of a thousand other lots that stand below this one.
+/// Share of a thousand other ranks below this one.
 fn share_below(rank_of_one: ShedRank) -> f64 {
     (5000..6000).filter(|content| rank(*content) < rank_of_one).count() as f64 / 1000.0
 }
--- a/crates/core/tests/size_class.rs
+++ b/crates/core/tests/size_class.rs
@@ -1,4 +1,4 @@
-//! Where a request's size stands within its kind.
+//! Classes of request sizes within their kind.
 
 use std::sync::Arc;
 
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,16 +1,17 @@
-//! Large requests went unserved while small ones of the same kind were served.
+//! Guards against starving large requests while small ones of the same kind are served.
 //!
-//! With more requests than engines can serve, an entry refused whatever would miss its objective by the
-//! predicted first token. The reading of the request's own prompt stands in that prediction, so that a
-//! long prompt passed only where few others waited, and short ones filled each gap before it. On a day
-//! with connections that fell silent the largest tenth of three kinds was served 0.49, 0.34 and 0.45
-//! times as often as its kind (0.311 for 0.632, 0.244 for 0.714, 0.270 for 0.594). Of 594 requests of the
-//! largest tenths 427 ended with `servers_full`, 5 left, none was cut or late in coming. Of 112 refusals of
-//! the first kind's largest tenth at which some server was only too late, 57 would have passed with a usual
-//! prompt in place of their own, of 206 of its smaller half none.
+//! With more requests than engines could serve, an entry rejected every request whose predicted
+//! first token would miss its objective. That prediction includes the prefill of the request's own
+//! prompt, so long prompts passed only when few others waited, and short ones filled each gap
+//! first. On a day with connections that fell silent, the largest tenth of three kinds was served
+//! 0.49, 0.34 and 0.45 times as often as its kind (0.311 against 0.632, 0.244 against 0.714, 0.270
+//! against 0.594). Of 594 requests in the largest tenths, 427 ended with `servers_full` and 5 were
+//! abandoned by their callers; none was cut off or arrived late. At 112 rejections in the first
+//! kind's largest tenth some server was merely too late; with a usual prompt instead of their own,
+//! 57 of them would have been admitted, against none of 206 in the smaller half.
 //!
-//! The world below has engines as the users describe them, entries that tell each other their loads, and
-//! more requests than the engines can serve.
+//! The simulation has engines as users describe them, entries that exchange their loads, and more
+//! requests than the engines can serve.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -44,32 +45,31 @@
 
 use figures::figures;
 
-/// Least share of a size class, relative to that of its kind: the aim, well above the half below
-/// which users call large requests unserved.
+/// Minimum served share of a size class relative to its kind. This is the target, well above the
+/// half below which users consider large requests unserved.
 const LEAST_RELATIVE: f64 = 0.75;
 
-/// Most of those served that may be late because they were refused at first: the aim is that nearly
-/// all of them are let in at their first coming.
+/// Maximum share of served requests that are late because they were rejected at first. The target
+/// is that nearly all are admitted at their first attempt.
 const MOST_LATE: f64 = 0.25;
 
-/// Time after which entries of a failure domain know each other's loads.
+/// Interval at which the entries of a failure domain exchange their loads.
 const LOAD_EXCHANGE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One step of the world.
+/// Time step of the simulation.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A kind of request.
 struct RequestKind {
     name: &'static str,
     objective: Duration,
     mean_prompt: f64,
     most_prompt: u64,
     mean_answer: f64,
-    /// Part of all requests.
+    /// Share of all requests.
     part: f64,
 }
 
-/// Three kinds with the users' sizes and objectives.
+/// Three kinds with the prompt sizes and objectives of users.
 const KINDS: [RequestKind; 3] = [
     RequestKind {
         name: "summary",
@@ -97,7 +97,6 @@
     },
 ];
 
-/// A request.
 #[derive(Debug, Clone)]
 struct Job {
     kind: usize,
@@ -105,29 +104,29 @@
     prompt: u64,
     answer: u64,
     entry: usize,
-    /// What the caller sends, which tells that the same request comes again.
+    /// Digest of the content, by which a retry is recognised.
     content: RequestDigest,
-    /// It has been refused once.
+    /// It was rejected once before.
     is_retry: bool,
     server: Option<ChosenServer>,
     first: Option<Moment>,
 }
 
-/// An engine: reads prompts between the steps of those that write.
+/// An engine that prefills prompts between decode steps.
 #[derive(Debug, Default)]
 struct Engine {
     queue: VecDeque<Job>,
-    /// Jobs in slots, with the tokens that are still to be written.
+    /// Running jobs with their remaining answer tokens.
     active: Vec<(Job, u64)>,
-    /// Prompts that the pass under way reads.
+    /// Jobs whose prompts the current pass prefills.
     reading: Vec<Job>,
     busy_until: Moment,
 }
 
-/// What became of the requests of one kind, by size of the prompt.
+/// Results of the requests of one kind.
 #[derive(Debug, Default)]
 struct KindOutcome {
-    /// Prompt and whether it was served, and whether in time.
+    /// Prompt tokens, whether the request was served, and whether it was in time.
     results: Vec<(u64, bool, bool)>,
 }
 
@@ -162,16 +161,16 @@
     figures: EngineFigures,
     engines: Vec<Engine>,
     tables: Vec<ServerTable>,
-    /// What refuses a part of the requests at each entry.
+    /// The load shedder of each entry.
     shedders: Vec<LoadShedder>,
-    /// Whether callers come back once after a refusal.
+    /// Whether callers retry once after a rejection.
     callers_retry: bool,
-    /// Those who will, and when.
+    /// Pending retries and when they are due.
     retries: Vec<(Moment, Job)>,
     outcomes: Vec<KindOutcome>,
     random: SmallRng,
     now: Moment,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
 }
 
@@ -196,8 +195,8 @@
     ServerId(format!("s{index}").into())
 }
 
-/// Requests a second that engines serve at the most: each takes its reading, and a sixteenth of its
-/// writing.
+/// Maximum number of requests per second that the engines can serve: each takes its prefill time
+/// and a sixteenth of its decode time.
 fn capacity(figures: &EngineFigures, engines: usize) -> f64 {
     let mean = |of: fn(&RequestKind) -> f64| KINDS.iter().map(|kind| kind.part * of(kind)).sum();
     let prompt: f64 = mean(|kind| kind.mean_prompt);
@@ -250,7 +249,7 @@
         self
     }
 
-    /// A log-normal draw with this mean and a spread of 1.
+    /// A log-normal sample with this mean and a standard deviation of 1 in log space.
     fn size(&mut self, mean: f64) -> f64 {
         let normal = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         (normal - 0.5).exp() * mean
@@ -278,7 +277,7 @@
         self.ask(job);
     }
 
-    /// Has those ask again whose time has come.
+    /// Sends the retries that are due.
     fn retry_due(&mut self) {
         let now = self.now;
         let due = self.retries.extract_if(.., |(at, _)| *at <= now);
@@ -286,7 +285,7 @@
         due.into_iter().for_each(|job| self.ask(job));
     }
 
-    /// Asks an entry, as an entry decides.
+    /// Sends a request to its entry, which decides as in production.
     fn ask(&mut self, job: Job) {
         let kind = job.kind;
         let work = EngineWork { prompt: job.prompt, objective: KINDS[kind].objective };
@@ -324,7 +323,7 @@
         }
     }
 
-    /// Lets an engine that has ended a pass begin the next one.
+    /// Starts the next pass of an engine that has finished one.
     fn pass(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         if engine.busy_until > self.now {
@@ -364,7 +363,7 @@
         }
     }
 
-    /// Tells each entry what the others have in progress.
+    /// Sends each entry the loads of the others.
     fn exchange_loads(&mut self) {
         let loads: Vec<_> = self.tables.iter().map(ServerTable::own_loads).collect();
         for (index, table) in self.tables.iter_mut().enumerate() {
@@ -378,7 +377,7 @@
         }
     }
 
-    /// Served shares by kind, for messages.
+    /// Served shares by kind, for assertion messages.
     fn table(&self) -> BTreeMap<&'static str, String> {
         let rows = KINDS.iter().zip(&self.outcomes).map(|(kind, outcome)| {
             let classes = SizeClass::ALL.map(|class| format!("{:.3}", outcome.class(class)));
@@ -404,7 +403,8 @@
     }
 }
 
-/// One entry and engines that are full, and six entries before twice what engines serve.
+/// Entries and load relative to capacity: one entry in front of full engines, and six in front of
+/// engines with twice the requests they can serve.
 const PAST_CAPACITY: [(usize, f64); 2] = [(1, 1.4), (6, 2.0)];
 
 #[gtest]
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -101,7 +101,7 @@
     let order = GivenOrder { version: WeightVersion(2), given: at(990), answer: None, expected };
     stage.order = Some(order);
     expect_that!(stage.step(), eq(StageStep::Wait));
-    // The report counts one order more: it was taken, and what it did will show.
+    // The report counts one more order: it was accepted, and its effect will show.
     stage.report.sequence = OrderSequence(1);
     stage.report.busy = true;
     expect_that!(stage.step(), eq(StageStep::Wait));
@@ -139,7 +139,7 @@
     expect_that!(has_turn(1, true, millis(7000), time, &others), eq(true));
     let done = [TurnView { done: true, ..waits }];
     expect_that!(has_turn(1, true, millis(100), time, &done), eq(true));
-    // One that serves nothing waits for nobody.
+    // A server that serves nothing does not wait for others.
     expect_that!(has_turn(2, false, millis(100), time, &others), eq(true));
 }
 
@@ -155,13 +155,13 @@
     expect_that!(turns(1000), eq(5));
     expect_that!(turns(4000), eq(10));
     expect_that!(turns(6500), eq(20));
-    // One that changes takes a place, whatever its rank.
+    // A server that is changing counts, whatever its rank.
     let changing: Vec<TurnView> =
         (1..5).map(|rank| TurnView { changing: true, ..waits(rank + 10) }).collect();
     expect_that!(has_turn(0, true, millis(1000), time, &changing), eq(false));
 }
 
-/// The others as seen by the server of `rank`, among twenty.
+/// The other servers as seen by the one of `rank`, among twenty.
 fn others_of(others: &[TurnView], rank: u32) -> Vec<TurnView> {
     let shifted = others.iter().map(|other| match other.rank < rank {
         true => *other,
@@ -176,35 +176,35 @@
 
 #[gtest]
 fn an_older_version_goes_first_only_if_the_newest_is_too_late() {
-    // All but here, and the newest would miss its deadline.
+    // Almost complete, and the newest would miss its deadline.
     let pressing = [wanted(2, 8000, 300), wanted(3, 12_000, 4000)];
     expect_that!(next_version(at(4000), &pressing), some(eq(WeightVersion(2))));
-    // Named at the same time: the newest does for both.
+    // Announced almost together: the newest satisfies both deadlines.
     let together = [wanted(2, 8000, 4000), wanted(3, 8100, 4000)];
     expect_that!(next_version(at(0), &together), some(eq(WeightVersion(3))));
-    // Its deadline is far.
+    // The older one's deadline is far away.
     let far = [wanted(2, 60_000, 300), wanted(3, 64_000, 4000)];
     expect_that!(next_version(at(4000), &far), some(eq(WeightVersion(3))));
     expect_that!(next_version(at(0), &[]), none());
 }
 
-/// Three quarters of a version were here when the next one was named four seconds after it. All servers
-/// turned to the newer one, which was whole just as they were sent nothing more, and 53 of 76 changed
-/// within a second and a half:
+/// Guards against servers idling at a deadline because a nearly complete version was skipped.
 ///
-/// ```text
-/// second 30: 274 of 918 answered in time, second 32: 676 of 916
-/// ```
+/// Three quarters of a version had arrived when the next one was announced four seconds later. All
+/// servers switched to the newer one, which was complete only when older weights stopped receiving
+/// requests, and 53 of 76 servers changed within 1.5 s. In second 30, 274 of 918 requests were
+/// answered in time; in second 32, 676 of 916.
 #[gtest]
 fn a_nearly_complete_version_is_used_although_a_newer_one_is_announced() {
     let (older, newer) = (wanted(2, 32_100, 1900), wanted(3, 36_100, 5700));
     expect_that!(next_version(at(24_300), &[older, newer]), some(eq(WeightVersion(2))));
-    // Named two seconds apart, with little of the older one here: one change less.
+    // Announced two seconds apart, with little of the older one received: skipping it saves a
+    // change.
     let (older, newer) = (wanted(2, 29_800, 4500), wanted(3, 31_800, 5700));
     expect_that!(next_version(at(20_000), &[older, newer]), some(eq(WeightVersion(3))));
 }
 
-/// The last turn begins before entries send nothing more to older weights, however long the time to change.
+/// Holds however much time servers have to change.
 #[gtest]
 fn the_last_turn_starts_before_older_weights_stop_receiving_requests() {
     let waits = |rank| TurnView { rank, done: false, ready: true, changing: false };
@@ -217,11 +217,12 @@
     }
 }
 
-/// What lies before older weights' end answers a fixed cause, and so is a time and no share.
+/// The margin covers a delay that does not depend on the time to change, so it is a fixed duration
+/// instead of a fraction.
 #[gtest]
 fn older_weights_receive_requests_until_a_fixed_time_before_the_deadline() {
     expect_that!(dispatch_time(millis(8000)), eq(millis(6400)));
     expect_that!(dispatch_time(millis(13_400)), eq(millis(11_800)));
-    // Where hardly any time is given, three quarters of it are kept.
+    // With very little time, three quarters of it are kept.
     expect_that!(dispatch_time(millis(2000)), eq(millis(1500)));
 }
--- a/crates/core/tests/stream_timing.rs
+++ b/crates/core/tests/stream_timing.rs
@@ -1,4 +1,4 @@
-//! What is kept of the times of a stream's events.
+//! Timing of stream events.
 
 use std::time::Duration;
 
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which servers end: who is refused, who is not, and how entries come to agree.
+//! Quarantine of requests under which servers end: which requests are refused, which are not, and
+//! how entries agree.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
     end(table, millis, digest, life, ProgressAtEnd::NoOutput)
 }
 
-/// Tells everything that `from` has to tell.
+/// Delivers all notices of `from` to `to`.
 fn send_notices(from: &SuspectTable, to: &mut SuspectTable, millis: u64) {
     for notice in from.notices(at(millis)) {
         let _ = to.apply(at(millis), notice);
@@ -53,7 +54,7 @@
     expect_that!(end(&mut table, 600, 1, 3, ProgressAtEnd::PartialOutput), eq(true));
 }
 
-/// Several entries may see the same end, and hear of it again from others.
+/// Several entries may observe the same end and hear of it again from others.
 #[gtest]
 fn an_end_reported_twice_counts_once() {
     let mut table = SuspectTable::default();
@@ -71,11 +72,12 @@
     let mut table = SuspectTable::default();
     silent(&mut table, 0, 1, 1);
     expect_that!(table.record_completion(at(100), HARMFUL), eq(&SuspectChange::None));
-    // What runs well is no suspect a moment later either, however many servers are lost at once.
+    // After a completed run the request does not become a suspect again, however many servers end
+    // at once.
     for life in 2..10 {
         expect_that!(silent(&mut table, 200, 1, life), eq(false));
     }
-    // But a minute on it is one like any other.
+    // A minute later it is treated like any other request.
     silent(&mut table, 61_000, 1, 11);
     expect_that!(silent(&mut table, 61_300, 1, 12), eq(true));
 }
@@ -93,7 +95,7 @@
     expect_that!(table.is_empty(), eq(true));
 }
 
-/// A caller may make servers end under different requests on purpose.
+/// A caller may terminate servers with many different requests on purpose.
 #[gtest]
 fn a_flood_of_suspects_is_bounded_and_keeps_refused_requests() {
     let mut table = SuspectTable::default();
@@ -124,8 +126,8 @@
     expect_that!(first.is_refused(at(500), HARMFUL), eq(true));
 }
 
-/// Whoever comes late, or was cut off while it was told, hears of a quarantine within a second and
-/// a fifth of any other entry.
+/// An entry that starts late or was partitioned learns of a quarantine from any other entry within
+/// 1.2 s.
 #[gtest]
 fn an_uninformed_entry_learns_refused_requests_within_a_second() {
     let (mut first, mut late) = (SuspectTable::default(), SuspectTable::default());
@@ -137,7 +139,7 @@
         late.is_refused(at(*millis), HARMFUL)
     });
     expect_that!(learned_at, some(le(from + 1000)));
-    // What is told on and on does not make it last longer.
+    // Repeated notices do not prolong the quarantine.
     let left = |table: &SuspectTable, millis| table.refused(at(millis))[0].left;
     for millis in (61_000..90_000).step_by(100) {
         send_notices(&first, &mut late, millis);
@@ -147,8 +149,7 @@
     expect_that!(left(&late, 90_000), le(QUARANTINE_TIME - Duration::from_millis(89_700)));
 }
 
-/// Failure domains that are cut off from each other count by themselves and join their counts
-/// afterwards.
+/// Failure domains that are partitioned count separately and merge their counts afterwards.
 #[gtest]
 fn counts_are_merged_after_a_partition() {
     let (mut here, mut there) = (SuspectTable::default(), SuspectTable::default());
@@ -165,8 +166,8 @@
     expect_that!(there.is_refused(at(7100), HARMFUL), eq(true));
 }
 
-/// A page that many callers ask for is in progress at every server of its service: where several of
-/// these are lost at once, all entries see ends under it in the same moment.
+/// A request that many callers send is in progress on every server of its service. If several of
+/// them are lost at once, all entries see ends under it at the same time.
 #[gtest]
 fn a_request_that_completed_at_one_entry_is_served_by_all() {
     let (mut informed, mut suspecting) = (SuspectTable::default(), SuspectTable::default());
@@ -179,7 +180,7 @@
     expect_that!(informed.is_refused(at(1100), HARMFUL), eq(false));
     send_notices(&informed, &mut suspecting, 1200);
     expect_that!(suspecting.is_refused(at(1200), HARMFUL), eq(false));
-    // Old word of it that comes round again is not believed.
+    // Stale notices about it are ignored.
     let refused = SuspectNotice::Refused { digest: HARMFUL, left: QUARANTINE_TIME };
     expect_that!(suspecting.apply(at(1300), refused), eq(&SuspectChange::None));
 }
@@ -197,7 +198,8 @@
     expect_that!(silent(&mut first, 2300, 1, 4), eq(true));
 }
 
-/// Servers that are lost together end within a moment in which a request may go from one to the next.
+/// Servers lost together end so close to each other that a request may be retried from one to the
+/// next.
 #[gtest]
 fn two_simultaneous_ends_do_not_suffice_but_three_do() {
     let mut table = SuspectTable::default();
@@ -206,19 +208,19 @@
     expect_that!(silent(&mut table, 150, 1, 3), eq(true));
 }
 
-/// One world: requests come to entries and run at servers that end under harmful ones.
+/// Simulated entries whose requests run on servers that end under harmful requests.
 struct Simulation {
     entries: Vec<SuspectTable>,
     rng: SmallRng,
     lives: u32,
-    /// Ends of servers under harmful requests.
+    /// Number of server ends under harmful requests.
     harmful_ends: u32,
-    /// Sound requests that were refused, and all of them.
+    /// Number of harmless requests refused, and number of all harmless requests.
     refused: u32,
     harmless: u32,
 }
 
-/// Requests of each server that are sound and in progress when it ends.
+/// Harmless requests in progress on each server when it ends.
 const HARMLESS_PER_SERVER: usize = 12;
 
 impl Simulation {
@@ -228,7 +230,7 @@
         Self { entries, rng, lives: 0, harmful_ends: 0, refused: 0, harmless: 0 }
     }
 
-    /// A server ends: every request that it had is a suspect at the entry that sent it.
+    /// Ends a server: every request it had becomes a suspect at the entry that sent it.
     fn end_server(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
         self.lives += 1;
         for (entry, digest, run) in requests {
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Everybody hears everybody, but for one notice in ten.
+    /// Exchanges notices between all entries; each one is lost with a probability of one in ten.
     fn exchange_notices(&mut self, now: Moment) {
         for from in 0..self.entries.len() {
             for notice in self.entries[from].notices(now) {
@@ -249,8 +251,7 @@
         }
     }
 
-    /// Sound requests that were in progress are tried again at the same entry; `ends` of them meet
-    /// another end.
+    /// Retries harmless requests at the same entry; those that are not refused run to completion.
     fn retry(&mut self, now: Moment, requests: &[(usize, RequestDigest, ProgressAtEnd)]) {
         for (entry, digest, _) in requests {
             self.harmless += 1;
@@ -271,7 +272,7 @@
         (0..HARMLESS_PER_SERVER).map(|_| request()).collect()
     }
 
-    /// One request in five waits for its first event.
+    /// Progress of a random request: one in five is still waiting for its first event.
     fn run(&mut self) -> ProgressAtEnd {
         if self.rng.random_bool(0.8) {
             ProgressAtEnd::PartialOutput
@@ -281,9 +282,9 @@
     }
 }
 
-/// A harmful request comes twice a second at any of seven entries for forty seconds; each coming ends
-/// up to two servers, with a dozen sound requests each. Two in ten sound ones that are continued meet
-/// the second of these ends as well.
+/// A harmful request arrives twice a second at a random one of seven entries for forty seconds.
+/// Each arrival ends up to two servers with a dozen harmless requests each; two in ten of the
+/// harmless ones that are retried are on the second server too.
 #[gtest]
 fn a_harmful_request_ends_few_servers_and_few_harmless_ones_are_refused() {
     let (mut refused, mut harmless) = (0, 0);
@@ -318,12 +319,12 @@
         refused += simulation.refused;
         harmless += simulation.harmless;
     }
-    // One in fifty of those that a harmful request disturbs at all.
+    // One in fifty of the requests that a harmful one affects.
     expect_that!(refused * 50, le(harmless), "of {harmless}");
     expect_that!(harmless, gt(400));
 }
 
-/// Servers crash and are killed in herds, again and again, with no harmful request among them.
+/// Servers crash or are killed in groups, repeatedly, without any harmful request.
 #[gtest]
 fn no_harmless_request_is_refused_after_correlated_server_ends() {
     for seed in 0..20 {
@@ -334,7 +335,7 @@
             if tick % 50 != 0 {
                 continue;
             }
-            // Three fifths of twelve servers at once; what they had is sent to those that live.
+            // Seven of twelve servers end at once; their requests are retried on the others.
             let mut retried = Vec::new();
             for _ in 0..7 {
                 let requests = simulation.harmless_requests();
--- a/crates/core/tests/transfer_rate.rs
+++ b/crates/core/tests/transfer_rate.rs
@@ -1,5 +1,8 @@
-//! A burst was thought to take 3.9 s, a copy and a half over a box's own link, and took 5.4 to 6.0 s: the
-//! origin's link was narrower, and nobody looked at how fast pieces came.
+//! Estimates of transfer times.
+//!
+//! Guards against estimates from a box's own link alone: a burst was estimated at 3.9 s, one and a
+//! half copies over that link, but took 5.4 to 6.0 s because the origin's link was narrower and the
+//! arrival rate of pieces was not measured.
 
 use std::time::Duration;
 
@@ -10,7 +13,7 @@
 };
 use headlatch_types::traffic::WeightVersion;
 
-/// Time of one piece over an origin of 4.38 Mbit/s.
+/// Time of one piece over an origin link of 4.38 Mbit/s.
 const PIECE_TIME: Duration = Duration::from_millis(45);
 
 fn at(millis: u64) -> Moment {
@@ -21,7 +24,7 @@
     TransferView { version: WeightVersion(version), held, pieces: 96, piece_time: PIECE_TIME }
 }
 
-/// A transfer of which one piece has come each `pause` milliseconds.
+/// A transfer in which a piece has arrived every `pause` milliseconds.
 fn transfer_in_progress(pause: u64, pieces: u32) -> TransferRate {
     let mut rate = TransferRate::default();
     for held in 0..=pieces {
