--- a/crates/core/src/direct/suspects.rs
+++ b/crates/core/src/direct/suspects.rs
@@ -70,9 +70,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProgressAtEnd {
     /// No output had been received.
-    NoOutput,
+    Silent,
     /// Part of the answer had been received.
-    PartialOutput,
+    Begun,
 }
 
 /// Effect of an observation or notice on a suspect.
@@ -131,7 +131,7 @@
     fn meets_threshold(&self) -> bool {
         let recorded = || self.ends.values().map(|end| end.recorded);
         let span = recorded().max().unwrap_or_default().since(recorded().min().unwrap_or_default());
-        let silent = self.ends.values().all(|end| end.run == ProgressAtEnd::NoOutput);
+        let silent = self.ends.values().all(|end| end.run == ProgressAtEnd::Silent);
         self.ends.len() >= QUARANTINE_THRESHOLD || (silent && span >= MIN_END_SPAN)
     }
 
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -26,7 +26,7 @@
 }
 
 fn silent(table: &mut SuspectTable, millis: u64, digest: u64, life: u32) -> bool {
-    end(table, millis, digest, life, ProgressAtEnd::NoOutput)
+    end(table, millis, digest, life, ProgressAtEnd::Silent)
 }
 
 /// Delivers all notices of `from` to `to`.
@@ -49,9 +49,9 @@
 #[gtest]
 fn a_request_with_partial_output_is_refused_after_three_ends() {
     let mut table = SuspectTable::default();
-    expect_that!(end(&mut table, 0, 1, 1, ProgressAtEnd::PartialOutput), eq(false));
+    expect_that!(end(&mut table, 0, 1, 1, ProgressAtEnd::Begun), eq(false));
     expect_that!(silent(&mut table, 300, 1, 2), eq(false));
-    expect_that!(end(&mut table, 600, 1, 3, ProgressAtEnd::PartialOutput), eq(true));
+    expect_that!(end(&mut table, 600, 1, 3, ProgressAtEnd::Begun), eq(true));
 }
 
 /// Several entries may observe the same end and hear of it again from others.
@@ -62,7 +62,7 @@
         expect_that!(silent(&mut table, millis, 1, 1), eq(false));
     }
     let ended =
-        SuspectNotice::Ended { digest: HARMFUL, life: LifeKey(1), run: ProgressAtEnd::NoOutput };
+        SuspectNotice::Ended { digest: HARMFUL, life: LifeKey(1), run: ProgressAtEnd::Silent };
     expect_that!(table.apply(at(60), ended), eq(&SuspectChange::None));
     expect_that!(table.is_refused(at(60), HARMFUL), eq(false));
 }
@@ -154,8 +154,8 @@
 fn counts_are_merged_after_a_partition() {
     let (mut here, mut there) = (SuspectTable::default(), SuspectTable::default());
     for (life, table) in [(1, &mut here), (2, &mut there)] {
-        end(table, 0, 1, life, ProgressAtEnd::PartialOutput);
-        end(table, 100, 1, life + 10, ProgressAtEnd::PartialOutput);
+        end(table, 0, 1, life, ProgressAtEnd::Begun);
+        end(table, 100, 1, life + 10, ProgressAtEnd::Begun);
     }
     expect_that!(here.is_refused(at(6000), HARMFUL), eq(false));
     for millis in (6000..7100).step_by(100) {
@@ -274,11 +274,7 @@
 
     /// Progress of a random request: one in five is still waiting for its first event.
     fn run(&mut self) -> ProgressAtEnd {
-        if self.rng.random_bool(0.8) {
-            ProgressAtEnd::PartialOutput
-        } else {
-            ProgressAtEnd::NoOutput
-        }
+        if self.rng.random_bool(0.8) { ProgressAtEnd::Begun } else { ProgressAtEnd::Silent }
     }
 }
 
@@ -306,7 +302,7 @@
                 let mut requests = simulation.harmless_requests();
                 requests.truncate(HARMLESS_PER_SERVER - retried.len());
                 requests.append(&mut retried);
-                requests.push((entry, HARMFUL, ProgressAtEnd::NoOutput));
+                requests.push((entry, HARMFUL, ProgressAtEnd::Silent));
                 simulation.end_server(now, &requests);
                 requests.pop();
                 retried = requests.split_off(HARMLESS_PER_SERVER * 8 / 10);
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -310,7 +310,7 @@
             self.arrivals -= u32::from(!failure.arrived);
             self.runs -= u32::from(failure.verdict == RunVerdict::NotRun);
             if failure.is_break() {
-                self.note_break(&server, ProgressAtEnd::NoOutput).await;
+                self.note_break(&server, ProgressAtEnd::Silent).await;
             }
         }
         sent
--- a/crates/daemon/src/direct/exchange/collect.rs
+++ b/crates/daemon/src/direct/exchange/collect.rs
@@ -40,7 +40,7 @@
                 in_flight.end(ServerOutcome::Lost);
                 let detail = match other {
                     Ok(Err(error)) => {
-                        self.note_break(&server, ProgressAtEnd::PartialOutput).await;
+                        self.note_break(&server, ProgressAtEnd::Begun).await;
                         error.to_string()
                     }
                     _ => "it did not end in time".to_owned(),
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -85,7 +85,7 @@
     let told = wire::NoticeSuspect { digest, ..wire::NoticeSuspect::default() };
     match *notice {
         SuspectNotice::Ended { life, run, .. } => {
-            let word = if run == ProgressAtEnd::NoOutput { ENDED_SILENT } else { ENDED_BEGUN };
+            let word = if run == ProgressAtEnd::Silent { ENDED_SILENT } else { ENDED_BEGUN };
             wire::NoticeSuspect { word, life: life.0, ..told }
         }
         SuspectNotice::Refused { left, .. } => {
@@ -99,8 +99,8 @@
 fn decode_suspect(told: &wire::NoticeSuspect) -> Option<SuspectNotice> {
     let (digest, life) = (RequestDigest(told.digest), LifeKey(told.life));
     Some(match told.word {
-        ENDED_SILENT => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::NoOutput },
-        ENDED_BEGUN => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::PartialOutput },
+        ENDED_SILENT => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::Silent },
+        ENDED_BEGUN => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::Begun },
         REFUSED => SuspectNotice::Refused { digest, left: Duration::from_secs(told.left_s.into()) },
         CLEARED => SuspectNotice::Cleared { digest },
         // A newer process may tell what this one does not know.
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -79,7 +79,7 @@
 
     /// How far the answer had come when the server ended.
     fn ended_run(&self) -> ProgressAtEnd {
-        if self.brought { ProgressAtEnd::PartialOutput } else { ProgressAtEnd::NoOutput }
+        if self.brought { ProgressAtEnd::Begun } else { ProgressAtEnd::Silent }
     }
 
     /// The next bytes, or how the stream has ended.
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -152,8 +152,11 @@
 /// A word of each kind on requests under which servers ended.
 fn suspects() -> Vec<SuspectNotice> {
     let digest = RequestDigest(u64::MAX - 5);
-    let ended = [ProgressAtEnd::NoOutput, ProgressAtEnd::PartialOutput]
-        .map(|run| SuspectNotice::Ended { digest, life: LifeKey(0xfeed), run });
+    let ended = [ProgressAtEnd::Silent, ProgressAtEnd::Begun].map(|run| SuspectNotice::Ended {
+        digest,
+        life: LifeKey(0xfeed),
+        run,
+    });
     let left = Duration::from_secs(599);
     let others = [SuspectNotice::Refused { digest, left }, SuspectNotice::Cleared { digest }];
     [ended, others].concat()
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -515,7 +515,7 @@
             let nth = world.index[&address(domain, 9)];
             let (now, life) = (world.now, LifeKey(life));
             let suspects = &mut world.processes[nth].suspects;
-            let _ = suspects.record_server_end(now, digest, life, ProgressAtEnd::NoOutput);
+            let _ = suspects.record_server_end(now, digest, life, ProgressAtEnd::Silent);
             world.run(Duration::from_millis(400));
         }
         world.run(Duration::from_millis(800));
