--- a/crates/core/src/direct/server_table/choice.rs
+++ b/crates/core/src/direct/server_table/choice.rs
@@ -14,8 +14,8 @@
 };
 use crate::{
     direct::{
-        engine_model::{EngineLoad, EngineWork, first_token},
-        shedding::EngineRoom,
+        engine_model::{EngineLoad, EngineWork, time_to_first_token},
+        shedding::EngineHeadroom,
         suspects::LifeKey,
     },
     time::Moment,
@@ -129,13 +129,15 @@
 
 impl ServerChoice {
     /// Returns the remaining capacity of the candidate engines.
-    pub fn engine_room(&self) -> EngineRoom {
+    pub fn engine_headroom(&self) -> EngineHeadroom {
         match self {
             Self::Server(server) => {
-                server.shortest_wait_load.map_or(EngineRoom::Unusable, EngineRoom::Best)
+                server.shortest_wait_load.map_or(EngineHeadroom::Unusable, EngineHeadroom::Best)
             }
-            Self::Full(full) => full.shortest_wait_load.map_or(EngineRoom::Full, EngineRoom::Best),
-            Self::Unavailable => EngineRoom::Unusable,
+            Self::Full(full) => {
+                full.shortest_wait_load.map_or(EngineHeadroom::Full, EngineHeadroom::Best)
+            }
+            Self::Unavailable => EngineHeadroom::Unusable,
         }
     }
 }
@@ -315,7 +317,7 @@
 
     /// Predicts the time to first token at a server.
     fn predict(&self, state: &ServerState, engine: EngineQuery<'_>) -> Duration {
-        first_token(engine.figures, self.load(state), engine.work)
+        time_to_first_token(engine.figures, self.load(state), engine.work)
     }
 
     /// Returns the cost of sending a request to a server, or why the server is excluded.
--- a/crates/core/src/direct/transfer_rate.rs
+++ b/crates/core/src/direct/transfer_rate.rs
@@ -1,7 +1,7 @@
-//! How long a version's missing pieces take to come, from the pace at which pieces have come lately.
+//! Estimates how long a version's missing pieces take to arrive, from the rate of recent arrivals.
 //!
-//! Answers the load of a burst whose bottleneck nobody told: an origin narrower than a box's own link, one
-//! that is slow, or a link that is shared with requests.
+//! Measuring the rate covers bottlenecks that are not configured: an origin narrower than a box's
+//! own link, a slow origin, or a link shared with requests.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,29 +9,29 @@
 
 use crate::time::Moment;
 
-/// Time over which the pace is taken.
-const PACE_WINDOW: Duration = Duration::from_millis(1500);
+/// Time window over which the rate is measured.
+const RATE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Pieces that must have come in that time for the pace to say anything.
-const LEAST_PIECES: u32 = 8;
+/// Minimum number of pieces received in the window for the rate to be meaningful.
+const MIN_PIECES: u32 = 8;
 
-/// Part by which a transfer takes longer than its slowest link alone would, in percent: pieces pass several
-/// boxes.
-const DETOUR_PERCENT: u32 = 120;
+/// Duration of a transfer relative to its slowest link alone, in percent: pieces pass through
+/// several boxes.
+const RELAY_OVERHEAD_PERCENT: u32 = 120;
 
-/// Time for the last pieces to spread and to be laid into the stage.
+/// Time for the last pieces to spread and to be written to the stage.
 const SPREAD_TIME: Duration = Duration::from_millis(500);
 
-/// What is told of a transfer.
+/// State of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransferView {
     /// The version.
     pub version: WeightVersion,
-    /// Pieces that are here.
+    /// Number of pieces held.
     pub held: u32,
-    /// Pieces in all.
+    /// Total number of pieces.
     pub pieces: u32,
-    /// Time that one piece takes over the narrowest link known.
+    /// Time to send one piece over the narrowest known link.
     pub piece_time: Duration,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The pace of the transfer that is under way.
+/// Measured rate of the current transfer.
 #[derive(Debug, Clone, Default)]
 pub struct TransferRate {
     version: Option<WeightVersion>,
@@ -49,36 +49,37 @@
 }
 
 impl TransferRate {
-    /// Takes in how many pieces of a version are here.
-    pub fn note(&mut self, now: Moment, version: WeightVersion, held: u32) {
+    /// Records how many pieces of a version are held.
+    pub fn record(&mut self, now: Moment, version: WeightVersion, held: u32) {
         if self.version != Some(version) {
             self.version = Some(version);
             self.held.clear();
         }
         self.held.push_back((now, held));
-        while self.held.get(1).is_some_and(|(at, _)| now.since(*at) >= PACE_WINDOW) {
+        while self.held.get(1).is_some_and(|(at, _)| now.since(*at) >= RATE_WINDOW) {
             self.held.pop_front();
         }
     }
 
-    /// Time until the missing pieces are here.
+    /// Estimated time until the missing pieces have arrived.
     ///
-    /// While nothing comes, as in an outage, it is what the links would take from now on.
+    /// While nothing arrives, as in an outage, this is the time that the links would need from now
+    /// on.
     pub fn time_left(&self, view: &TransferView) -> Duration {
         let missing = view.missing();
         if missing == 0 {
             return Duration::ZERO;
         }
-        let told = view.piece_time * missing * DETOUR_PERCENT / 100;
-        let seen = self.pace(view.version).map(|piece_time| piece_time * missing);
-        seen.unwrap_or(told).max(view.piece_time * missing) + SPREAD_TIME
+        let predicted = view.piece_time * missing * RELAY_OVERHEAD_PERCENT / 100;
+        let measured = self.piece_interval(view.version).map(|piece_time| piece_time * missing);
+        measured.unwrap_or(predicted).max(view.piece_time * missing) + SPREAD_TIME
     }
 
-    /// Time between two pieces lately; none where too few have come.
-    fn pace(&self, version: WeightVersion) -> Option<Duration> {
+    /// Recent average time between two pieces; `None` if too few have arrived.
+    fn piece_interval(&self, version: WeightVersion) -> Option<Duration> {
         let (from, before) = self.held.front().filter(|_| self.version == Some(version))?;
         let (until, after) = self.held.back()?;
-        let came = after.saturating_sub(*before);
-        (came >= LEAST_PIECES).then(|| until.since(*from) / came)
+        let received = after.saturating_sub(*before);
+        (received >= MIN_PIECES).then(|| until.since(*from) / received)
     }
 }
--- a/crates/core/tests/newcomers.rs
+++ b/crates/core/tests/newcomers.rs
@@ -31,12 +31,12 @@
 
 fn send_notices(from: &WeightDeadlines, to: &mut WeightDeadlines, now: Moment) {
     for one in from.notices(now, CHANGE_TIME) {
-        to.learn_late(now, &one.model, one.version, one.age);
+        to.learn_with_age(now, &one.model, one.version, one.age);
     }
 }
 
 fn least(weights: &WeightDeadlines, millis: u64) -> u64 {
-    weights.least(at(millis), &model(), CHANGE_TIME).map_or(0, |version| version.0)
+    weights.min_version(at(millis), &model(), CHANGE_TIME).map_or(0, |version| version.0)
 }
 
 #[gtest]
@@ -166,7 +166,7 @@
             };
             if let Some((weights, _)) = newcomers[index].as_mut().filter(|_| !lost) {
                 for one in sent {
-                    weights.learn_late(at(now), &one.model, one.version, one.age);
+                    weights.learn_with_age(at(now), &one.model, one.version, one.age);
                 }
             }
         }
--- a/crates/core/tests/request_digest.rs
+++ b/crates/core/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Digests that identify equal requests.
 
 use googletest::prelude::*;
 use headlatch_core::direct::request_digest::{RequestContent, RequestDigest, RequestDigests};
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn a_query_that_changes_leaves_one_digest_as_it_was() {
+fn a_changed_query_changes_only_one_digest() {
     let first = RequestDigests::of(&CONTENT);
     let other = RequestDigests::of(&RequestContent { query: Some("n=2"), ..CONTENT });
     expect_that!(first.whole, not(eq(other.whole)));
@@ -28,9 +28,9 @@
     expect_that!(none.iter().collect::<Vec<_>>(), eq(&vec![first.without_query]));
 }
 
-/// Nobody's content may stand for another caller's, and no part may run into the next.
+/// No caller's request may be taken for another caller's, and no part for its neighbour.
 #[gtest]
-fn every_part_tells_contents_apart() {
+fn every_part_changes_the_digests() {
     let others = [
         RequestContent { caller: Some("t2"), ..CONTENT },
         RequestContent { caller: None, ..CONTENT },
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn a_digest_reads_as_it_is_written() {
+fn a_digest_parses_from_its_displayed_form() {
     let digest = RequestDigest(0x00ab_cdef_0123_4567);
     expect_that!(digest.to_string(), eq("00abcdef01234567"));
     expect_that!("00abcdef01234567".parse::<RequestDigest>(), ok(eq(&digest)));
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,16 +1,17 @@
-//! Large requests went unserved while small ones of the same kind were served.
+//! Guards against starving large requests while small ones of the same kind are served.
 //!
-//! With more requests than engines can serve, an entry refused whatever would miss its objective by the
-//! predicted first token. The reading of the request's own prompt stands in that prediction, so that a
-//! long prompt passed only where few others waited, and short ones filled each gap before it. On a day
-//! with connections that fell silent the largest tenth of three kinds was served 0.49, 0.34 and 0.45
-//! times as often as its kind (0.311 for 0.632, 0.244 for 0.714, 0.270 for 0.594). Of 594 requests of the
-//! largest tenths 427 ended with `servers_full`, 5 left, none was cut or late in coming. Of 112 refusals of
-//! the first kind's largest tenth at which some server was only too late, 57 would have passed with a usual
-//! prompt in place of their own, of 206 of its smaller half none.
+//! With more requests than engines could serve, an entry rejected every request whose predicted
+//! first token would miss its objective. That prediction includes the prefill of the request's own
+//! prompt, so long prompts passed only when few others waited, and short ones filled each gap
+//! first. On a day with connections that fell silent, the largest tenth of three kinds was served
+//! 0.49, 0.34 and 0.45 times as often as its kind (0.311 against 0.632, 0.244 against 0.714, 0.270
+//! against 0.594). Of 594 requests in the largest tenths, 427 ended with `servers_full` and 5 were
+//! abandoned by their callers; none was cut off or arrived late. At 112 rejections in the first
+//! kind's largest tenth some server was merely too late; with a usual prompt instead of their own,
+//! 57 of them would have been admitted, against none of 206 in the smaller half.
 //!
-//! The world below has engines as the users describe them, entries that tell each other their loads, and
-//! more requests than the engines can serve.
+//! The simulation has engines as users describe them, entries that exchange their loads, and more
+//! requests than the engines can serve.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -25,7 +26,7 @@
         server_table::{
             ChosenServer, EngineQuery, ServerChoice, ServerOutcome, ServerQuery, ServerTable,
         },
-        shedding::{LoadShedder, NewRequest, RequestLot},
+        shedding::{LoadShedder, NewRequest, ShedRank},
         size_class::SizeClass,
     },
     time::Moment,
@@ -44,32 +45,31 @@
 
 use figures::figures;
 
-/// Least share of a size class, relative to that of its kind: the aim, well above the half below
-/// which users call large requests unserved.
+/// Minimum served share of a size class relative to its kind. This is the target, well above the
+/// half below which users consider large requests unserved.
 const LEAST_RELATIVE: f64 = 0.75;
 
-/// Most of those served that may be late because they were refused at first: the aim is that nearly
-/// all of them are let in at their first coming.
+/// Maximum share of served requests that are late because they were rejected at first. The target
+/// is that nearly all are admitted at their first attempt.
 const MOST_LATE: f64 = 0.25;
 
-/// Time after which entries of a failure domain know each other's loads.
-const TELLING_TIME: Duration = Duration::from_millis(5);
+/// Interval at which the entries of a failure domain exchange their loads.
+const LOAD_EXCHANGE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One step of the world.
+/// Time step of the simulation.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A kind of request.
 struct RequestKind {
     name: &'static str,
     objective: Duration,
     mean_prompt: f64,
     most_prompt: u64,
     mean_answer: f64,
-    /// Part of all requests.
+    /// Share of all requests.
     part: f64,
 }
 
-/// Three kinds with the users' sizes and objectives.
+/// Three kinds with the prompt sizes and objectives of users.
 const KINDS: [RequestKind; 3] = [
     RequestKind {
         name: "summary",
@@ -97,46 +97,45 @@
     },
 ];
 
-/// A request.
 #[derive(Debug, Clone)]
 struct Job {
     kind: usize,
-    came: Moment,
+    arrived: Moment,
     prompt: u64,
     answer: u64,
     entry: usize,
-    /// What the caller sends, which tells that the same request comes again.
+    /// Digest of the content, by which a retry is recognised.
     content: RequestDigest,
-    /// It has been refused once.
-    came_back: bool,
+    /// It was rejected once before.
+    is_retry: bool,
     server: Option<ChosenServer>,
     first: Option<Moment>,
 }
 
-/// An engine: reads prompts between the steps of those that write.
+/// An engine that prefills prompts between decode steps.
 #[derive(Debug, Default)]
 struct Engine {
     queue: VecDeque<Job>,
-    /// Jobs in slots, with the tokens that are still to be written.
+    /// Running jobs with their remaining answer tokens.
     active: Vec<(Job, u64)>,
-    /// Prompts that the pass under way reads.
+    /// Jobs whose prompts the current pass prefills.
     reading: Vec<Job>,
     busy_until: Moment,
 }
 
-/// What became of the requests of one kind, by size of the prompt.
+/// Results of the requests of one kind.
 #[derive(Debug, Default)]
 struct KindOutcome {
-    /// Prompt and whether it was served, and whether in time.
-    fates: Vec<(u64, bool, bool)>,
+    /// Prompt tokens, whether the request was served, and whether it was in time.
+    results: Vec<(u64, bool, bool)>,
 }
 
 impl KindOutcome {
     fn share(&self, of: impl Fn(usize, usize) -> bool) -> f64 {
-        let mut fates = self.fates.clone();
-        fates.sort();
-        let count = fates.len();
-        let chosen = fates.iter().enumerate().filter(|(index, _)| of(*index, count));
+        let mut results = self.results.clone();
+        results.sort();
+        let count = results.len();
+        let chosen = results.iter().enumerate().filter(|(index, _)| of(*index, count));
         let served: Vec<bool> = chosen.map(|(_, (_, served, _))| *served).collect();
         served.iter().filter(|served| **served).count() as f64 / served.len().max(1) as f64
     }
@@ -147,31 +146,31 @@
 
     fn class(&self, class: SizeClass) -> f64 {
         self.share(|index, count| {
-            SizeClass::with_larger((count - 1 - index) as f64 / count as f64) == class
+            SizeClass::from_share_above((count - 1 - index) as f64 / count as f64) == class
         })
     }
 
     fn late(&self) -> f64 {
-        let served: Vec<_> = self.fates.iter().filter(|(_, served, _)| *served).collect();
+        let served: Vec<_> = self.results.iter().filter(|(_, served, _)| *served).collect();
         served.iter().filter(|(_, _, in_time)| !in_time).count() as f64 / served.len() as f64
     }
 }
 
 /// Engines, entries and callers in virtual time.
-struct World {
+struct Simulation {
     figures: EngineFigures,
     engines: Vec<Engine>,
     tables: Vec<ServerTable>,
-    /// What refuses a part of the requests at each entry.
+    /// The load shedder of each entry.
     shedders: Vec<LoadShedder>,
-    /// Whether callers come back once after a refusal.
-    callers_return: bool,
-    /// Those who will, and when.
-    returning: Vec<(Moment, Job)>,
+    /// Whether callers retry once after a rejection.
+    callers_retry: bool,
+    /// Pending retries and when they are due.
+    retries: Vec<(Moment, Job)>,
     outcomes: Vec<KindOutcome>,
     random: SmallRng,
     now: Moment,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
 }
 
@@ -196,8 +195,8 @@
     ServerId(format!("s{index}").into())
 }
 
-/// Requests a second that engines serve at the most: each takes its reading, and a sixteenth of its
-/// writing.
+/// Maximum number of requests per second that the engines can serve: each takes its prefill time
+/// and a sixteenth of its decode time.
 fn capacity(figures: &EngineFigures, engines: usize) -> f64 {
     let mean = |of: fn(&RequestKind) -> f64| KINDS.iter().map(|kind| kind.part * of(kind)).sum();
     let prompt: f64 = mean(|kind| kind.mean_prompt);
@@ -207,7 +206,7 @@
     engines as f64 / (reading + writing)
 }
 
-impl World {
+impl Simulation {
     fn new(engines: usize, entries: usize, load: f64, seed: u64) -> Self {
         let figures = figures();
         let zone: DomainId = "z".parse().expect("a name");
@@ -223,8 +222,8 @@
             rate: capacity(&figures, engines) * load,
             tables: (0..entries).map(|_| table()).collect(),
             shedders: (0..entries).map(|_| LoadShedder::default()).collect(),
-            callers_return: false,
-            returning: Vec::new(),
+            callers_retry: false,
+            retries: Vec::new(),
             engines: (0..engines).map(|_| Engine::default()).collect(),
             outcomes: KINDS.iter().map(|_| KindOutcome::default()).collect(),
             random: SmallRng::seed_from_u64(seed),
@@ -240,17 +239,17 @@
             let chance = self.rate * TICK.as_secs_f64();
             let arrivals = chance as usize + usize::from(self.random.random_bool(chance.fract()));
             (0..arrivals).for_each(|_| self.arrive());
-            self.come_back();
-            if self.now.since(told) >= TELLING_TIME {
+            self.retry_due();
+            if self.now.since(told) >= LOAD_EXCHANGE_INTERVAL {
                 told = self.now;
-                self.tell_loads();
+                self.exchange_loads();
             }
             (0..self.engines.len()).for_each(|index| self.pass(index));
         }
         self
     }
 
-    /// A log-normal draw with this mean and a spread of 1.
+    /// A log-normal sample with this mean and a standard deviation of 1 in log space.
     fn size(&mut self, mean: f64) -> f64 {
         let normal = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         (normal - 0.5).exp() * mean
@@ -266,27 +265,27 @@
         let (prompt, answer) = (KINDS[kind].mean_prompt, KINDS[kind].mean_answer);
         let job = Job {
             kind,
-            came: self.now,
+            arrived: self.now,
             prompt: (self.size(prompt) as u64).clamp(40, KINDS[kind].most_prompt),
             answer: (self.size(answer) as u64).clamp(5, 250),
             entry: self.random.random_range(0..self.tables.len()),
             content: RequestDigest(self.random.random()),
-            came_back: false,
+            is_retry: false,
             server: None,
             first: None,
         };
         self.ask(job);
     }
 
-    /// Has those ask again whose time has come.
-    fn come_back(&mut self) {
+    /// Sends the retries that are due.
+    fn retry_due(&mut self) {
         let now = self.now;
-        let due = self.returning.extract_if(.., |(at, _)| *at <= now);
+        let due = self.retries.extract_if(.., |(at, _)| *at <= now);
         let due: Vec<Job> = due.map(|(_, job)| job).collect();
         due.into_iter().for_each(|job| self.ask(job));
     }
 
-    /// Asks an entry, as an entry decides.
+    /// Sends a request to its entry, which decides as in production.
     fn ask(&mut self, job: Job) {
         let kind = job.kind;
         let work = EngineWork { prompt: job.prompt, objective: KINDS[kind].objective };
@@ -305,9 +304,9 @@
             regions: &AllowedRegions::Anywhere,
             figures: &self.figures,
             objective: work.objective,
-            lot: RequestLot::new(job.content, self.now.since(Moment::ZERO)),
+            rank: ShedRank::new(job.content, self.now.since(Moment::ZERO)),
         };
-        let shed = self.shedders[job.entry].refuses(self.now, &new, choice.engine_room());
+        let shed = self.shedders[job.entry].refuses(self.now, &new, choice.engine_headroom());
         match choice {
             ServerChoice::Server(server) if shed.is_none() => {
                 self.tables[job.entry].begin(&server.id, job.prompt);
@@ -315,16 +314,16 @@
                 let engine = &mut self.engines[index.expect("it is one of them")];
                 engine.queue.push_back(Job { server: Some(server), ..job });
             }
-            _ if self.callers_return && !job.came_back => {
+            _ if self.callers_retry && !job.is_retry => {
                 let rest = Duration::from_millis(self.random.random_range(700..1700));
                 let entry = self.random.random_range(0..self.tables.len());
-                self.returning.push((self.now + rest, Job { came_back: true, entry, ..job }));
+                self.retries.push((self.now + rest, Job { is_retry: true, entry, ..job }));
             }
-            _ => self.outcomes[kind].fates.push((job.prompt, false, false)),
+            _ => self.outcomes[kind].results.push((job.prompt, false, false)),
         }
     }
 
-    /// Lets an engine that has ended a pass begin the next one.
+    /// Starts the next pass of an engine that has finished one.
     fn pass(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         if engine.busy_until > self.now {
@@ -358,14 +357,14 @@
         for (job, _) in ended {
             let server = job.server.as_ref().expect("it has been sent");
             self.tables[job.entry].end(self.now, &server.id, ServerOutcome::Answered);
-            let first = job.first.expect("it has been read").since(job.came);
+            let first = job.first.expect("it has been read").since(job.arrived);
             let in_time = first <= KINDS[job.kind].objective;
-            self.outcomes[job.kind].fates.push((job.prompt, true, in_time));
+            self.outcomes[job.kind].results.push((job.prompt, true, in_time));
         }
     }
 
-    /// Tells each entry what the others have in progress.
-    fn tell_loads(&mut self) {
+    /// Sends each entry the loads of the others.
+    fn exchange_loads(&mut self) {
         let loads: Vec<_> = self.tables.iter().map(ServerTable::own_loads).collect();
         for (index, table) in self.tables.iter_mut().enumerate() {
             let mut others: HashMap<u32, EngineLoad> = HashMap::new();
@@ -378,7 +377,7 @@
         }
     }
 
-    /// Served shares by kind, for messages.
+    /// Served shares by kind, for assertion messages.
     fn table(&self) -> BTreeMap<&'static str, String> {
         let rows = KINDS.iter().zip(&self.outcomes).map(|(kind, outcome)| {
             let classes = SizeClass::ALL.map(|class| format!("{:.3}", outcome.class(class)));
@@ -404,46 +403,47 @@
     }
 }
 
-/// One entry and engines that are full, and six entries before twice what engines serve.
+/// Entries and load relative to capacity: one entry in front of full engines, and six in front of
+/// engines with twice the requests they can serve.
 const PAST_CAPACITY: [(usize, f64); 2] = [(1, 1.4), (6, 2.0)];
 
 #[gtest]
-fn large_requests_are_served_as_the_others_past_capacity() {
+fn large_requests_are_not_starved_past_capacity() {
     for (entries, load) in PAST_CAPACITY {
         for seed in 1..=3 {
-            let world = World::new(12, entries, load, seed).run(Duration::from_secs(60));
-            world.check_large_ones_are_served();
+            let simulation = Simulation::new(12, entries, load, seed).run(Duration::from_secs(60));
+            simulation.check_large_ones_are_served();
         }
     }
 }
 
 #[gtest]
-fn kinds_are_served_alike_past_capacity() {
+fn kinds_are_served_evenly_past_capacity() {
     for (entries, load) in PAST_CAPACITY {
-        let world = World::new(12, entries, load, 1).run(Duration::from_secs(60));
-        let shares: Vec<f64> = world.outcomes.iter().map(KindOutcome::all).collect();
+        let simulation = Simulation::new(12, entries, load, 1).run(Duration::from_secs(60));
+        let shares: Vec<f64> = simulation.outcomes.iter().map(KindOutcome::all).collect();
         let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-        expect_that!(shares, each(ge(&(mean * LEAST_RELATIVE))), "{:#?}", world.table());
+        expect_that!(shares, each(ge(&(mean * LEAST_RELATIVE))), "{:#?}", simulation.table());
     }
 }
 
 #[gtest]
-fn callers_who_come_back_take_few_places() {
+fn retries_displace_few_other_requests() {
     for (entries, load) in PAST_CAPACITY {
-        let mut world = World::new(12, entries, load, 1);
-        world.callers_return = true;
-        let world = world.run(Duration::from_secs(60));
-        world.check_large_ones_are_served();
-        for outcome in &world.outcomes {
-            expect_that!(outcome.late(), le(MOST_LATE), "{:#?}", world.table());
+        let mut simulation = Simulation::new(12, entries, load, 1);
+        simulation.callers_retry = true;
+        let simulation = simulation.run(Duration::from_secs(60));
+        simulation.check_large_ones_are_served();
+        for outcome in &simulation.outcomes {
+            expect_that!(outcome.late(), le(MOST_LATE), "{:#?}", simulation.table());
         }
     }
 }
 
 #[gtest]
-fn few_are_refused_while_engines_have_room() {
-    let world = World::new(12, 6, 0.6, 1).run(Duration::from_secs(60));
-    for outcome in &world.outcomes {
-        expect_that!(outcome.all(), ge(0.98), "{:#?}", world.table());
+fn few_requests_are_rejected_below_capacity() {
+    let simulation = Simulation::new(12, 6, 0.6, 1).run(Duration::from_secs(60));
+    for outcome in &simulation.outcomes {
+        expect_that!(outcome.all(), ge(0.98), "{:#?}", simulation.table());
     }
 }
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -7,8 +7,8 @@
         server_table::{
             ChosenServer, EngineQuery, ExclusionCounts, ServerChoice, ServerOutcome, ServerQuery,
         },
-        shedding::{NewRequest, RequestLot},
-        suspects::{EndedRun, QUARANTINE_TIME},
+        shedding::{NewRequest, ShedRank},
+        suspects::{ProgressAtEnd, QUARANTINE_TIME},
     },
     time::Moment,
 };
@@ -202,9 +202,9 @@
             regions,
             figures,
             objective: work.objective,
-            lot: RequestLot::new(self.request.digests.without_query, unix_time()),
+            rank: ShedRank::new(self.request.digests.without_query, unix_time()),
         };
-        self.state.shedder().refuses(self.state.now(), &request, choice.engine_room())
+        self.state.shedder().refuses(self.state.now(), &request, choice.engine_headroom())
     }
 
     /// Whether the request may be sent to one more server.
@@ -312,7 +312,7 @@
             self.arrivals -= u32::from(!failure.arrived);
             self.runs -= u32::from(failure.verdict == RunVerdict::NotRun);
             if failure.is_break() {
-                self.note_break(&server, EndedRun::Silent).await;
+                self.note_break(&server, ProgressAtEnd::Silent).await;
             }
         }
         sent
@@ -320,7 +320,7 @@
 
     /// Finds out what it means that a server broke off while it had this request, of which it had
     /// brought what `run` says.
-    pub async fn note_break(&self, server: &ChosenServer, run: EndedRun) {
+    pub async fn note_break(&self, server: &ChosenServer, run: ProgressAtEnd) {
         if !server_end::has_ended(&self.state, server).await {
             return;
         }
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -13,7 +13,7 @@
             WantedNotice,
         },
         rate_limits::{LimitNotice, MAX_LIMIT_NOTICES},
-        suspects::{EndedRun, LifeKey, MOST_TOLD, SuspectNotice},
+        suspects::{LifeKey, MAX_NOTICES, ProgressAtEnd, SuspectNotice},
     },
     time::Moment,
 };
@@ -153,7 +153,7 @@
 /// A word of each kind on requests under which servers ended.
 fn suspects() -> Vec<SuspectNotice> {
     let digest = RequestDigest(u64::MAX - 5);
-    let ended = [EndedRun::Silent, EndedRun::Begun].map(|run| SuspectNotice::Ended {
+    let ended = [ProgressAtEnd::Silent, ProgressAtEnd::Begun].map(|run| SuspectNotice::Ended {
         digest,
         life: LifeKey(0xfeed),
         run,
@@ -166,7 +166,7 @@
 /// Every entry tells at once of the requests of all servers that were lost in one moment.
 #[gtest]
 fn words_of_many_suspects_fit_in_a_notice_beside_everything_else() {
-    let suspects = suspects().into_iter().cycle().take(MOST_TOLD).collect();
+    let suspects = suspects().into_iter().cycle().take(MAX_NOTICES).collect();
     let notice = PeerNotice { suspects, ..living(PeerKind::Entry, FAR, 3) };
     expect_that!(encode(&notice).len(), lt(MOST_DATAGRAM / 6));
 }
