--- a/crates/daemon/src/direct/answer.rs
+++ b/crates/daemon/src/direct/answer.rs
@@ -8,10 +8,10 @@
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 
 /// Why a body broke off.
-pub type BodyFailure = Box<dyn std::error::Error + Send + Sync>;
+pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyFailure>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Headers that belong to one connection.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
@@ -24,12 +24,12 @@
 ];
 
 /// A body that is all here.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Takes out of a head what belongs to the connection that it came on.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -46,7 +46,7 @@
 
 /// Why a request got an answer of our own.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct ErrorResponse {
     /// Status of the answer.
     pub status: StatusCode,
     /// The cause, for logs and metrics.
@@ -57,7 +57,7 @@
     pub retry_after: Option<Duration>,
 }
 
-impl GivenUp {
+impl ErrorResponse {
     /// The request has certainly not run and may come back.
     pub fn refused(cause: &'static str, retry_after: Duration) -> Self {
         Self {
@@ -74,13 +74,13 @@
     }
 
     /// Nobody can tell whether the request has run.
-    pub fn unsure(status: StatusCode, cause: &'static str) -> Self {
+    pub fn outcome_unknown(status: StatusCode, cause: &'static str) -> Self {
         Self { status, cause, verdict: RunVerdict::MayHaveRun, retry_after: None }
     }
 
     /// The answer.
     pub fn response(&self) -> Response<AnswerBody> {
-        let mut response = Response::new(whole(Bytes::from(format!("{}\n", self.cause))));
+        let mut response = Response::new(full_body(Bytes::from(format!("{}\n", self.cause))));
         *response.status_mut() = self.status;
         if let Some(rest) = self.retry_after {
             let seconds = format!("{:.2}", rest.as_secs_f64());
--- a/crates/daemon/src/direct/attempt.rs
+++ b/crates/daemon/src/direct/attempt.rs
@@ -21,16 +21,16 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::{answer::strip_connection, handler::RequestPlan, state::EntryState};
+use super::{answer::strip_hop_by_hop_headers, handler::AdmittedRequest, state::EntryState};
 
 /// Time for a connection to come up: a server that answers does so within a few round trips.
-const CONNECT_TIME: Duration = Duration::from_millis(350);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Cause of a failure whose server said nothing until the time was over.
 pub const NO_ANSWER: &str = "no_answer_in_time";
 
 /// Cause of a failure whose server closed the connection before its answer began.
-const BROKEN_OFF: &str = "broken_off";
+const CONNECTION_CLOSED: &str = "broken_off";
 
 /// Cause of a failure whose server closed the connection within its answer.
 pub const ANSWER_CUT: &str = "answer_cut";
@@ -42,9 +42,9 @@
     server: ChosenServer,
     /// Tokens of the prompt.
     tokens: u64,
-    read: AtomicBool,
+    prompt_read: AtomicBool,
     /// It may not be sent to another server any more.
-    last: AtomicBool,
+    final_attempt: AtomicBool,
     ended: AtomicBool,
 }
 
@@ -57,22 +57,22 @@
         }
         servers.begin(&server.id, tokens);
         drop(servers);
-        state.tell_loads();
-        let [read, last, ended] = [(); 3].map(|()| AtomicBool::new(false));
-        Some(Self { state, server, tokens, read, last, ended })
+        state.notify_load_changes();
+        let [prompt_read, final_attempt, ended] = [(); 3].map(|()| AtomicBool::new(false));
+        Some(Self { state, server, tokens, prompt_read, final_attempt, ended })
     }
 
     /// Notes that the server has read the prompt.
     pub fn note_read(&self) {
-        if !self.read.swap(true, Ordering::Relaxed) {
+        if !self.prompt_read.swap(true, Ordering::Relaxed) {
             self.state.servers().note_read(&self.server.id, self.tokens);
-            self.state.tell_loads();
+            self.state.notify_load_changes();
         }
     }
 
     /// Notes that the request has begun and may not be sent to another server any more.
-    pub fn note_last(&self) {
-        if !self.last.swap(true, Ordering::Relaxed) {
+    pub fn mark_final_attempt(&self) {
+        if !self.final_attempt.swap(true, Ordering::Relaxed) {
             self.state.servers().begin_last(&self.server.id);
         }
     }
@@ -86,11 +86,11 @@
     pub fn end(&self, outcome: ServerOutcome) {
         self.note_read();
         if !self.ended.swap(true, Ordering::Relaxed) {
-            if self.last.load(Ordering::Relaxed) {
+            if self.final_attempt.load(Ordering::Relaxed) {
                 self.state.servers().end_last(&self.server.id);
             }
             self.state.servers().end_at(self.state.now(), &self.server, outcome);
-            self.state.tell_loads();
+            self.state.notify_load_changes();
         }
     }
 }
@@ -111,7 +111,7 @@
     /// The count of the request at the server.
     pub in_flight: InFlight,
     /// Time that the server was given, from when it was sent the request.
-    pub given: LimitedTime,
+    pub time_limit: LimitedTime,
 }
 
 /// Why a sending brought no answer that can be passed on.
@@ -126,7 +126,7 @@
     /// More about the cause.
     pub detail: String,
     /// Whether the request has reached the server.
-    pub arrived: bool,
+    pub reached_server: bool,
 }
 
 impl AttemptFailure {
@@ -143,32 +143,32 @@
     /// Nothing was sent, for this cause.
     fn not_sent(cause: &'static str) -> Self {
         let (verdict, outcome) = (RunVerdict::NotRun, ServerOutcome::Abandoned);
-        Self { verdict, outcome, cause, detail: String::new(), arrived: false }
+        Self { verdict, outcome, cause, detail: String::new(), reached_server: false }
     }
 
     /// Whether the server closed the connection while it had the request.
-    pub fn is_break(&self) -> bool {
-        [BROKEN_OFF, ANSWER_CUT].contains(&self.cause)
+    pub fn is_connection_break(&self) -> bool {
+        [CONNECTION_CLOSED, ANSWER_CUT].contains(&self.cause)
     }
 
     fn lost(cause: &'static str, detail: String) -> Self {
         let (verdict, outcome) = (RunVerdict::MayHaveRun, ServerOutcome::Lost);
-        Self { verdict, outcome, cause, detail, arrived: true }
+        Self { verdict, outcome, cause, detail, reached_server: true }
     }
 }
 
 /// The head that a server is sent.
 fn outgoing_headers(
     state: &EntryState,
-    request: &RequestPlan,
+    request: &AdmittedRequest,
     facts: &SendFacts,
     body: &Bytes,
 ) -> HeaderMap {
     let mut headers = request.headers.clone();
-    strip_connection(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::CONTENT_LENGTH);
-    if !body.is_empty() || request.announced_body {
+    if !body.is_empty() || request.declares_body {
         headers.insert(header::CONTENT_LENGTH, body.len().into());
     }
     state.headers.write_request(&mut headers, facts);
@@ -179,19 +179,19 @@
 /// request's deadline.
 pub async fn send(
     state: &Arc<EntryState>,
-    request: &RequestPlan,
+    request: &AdmittedRequest,
     server: ChosenServer,
     last_event: Option<u64>,
     choice: ConnectionChoice,
 ) -> Result<ServerAnswer, AttemptFailure> {
-    let tokens = request.work().map_or(0, |work| work.prompt);
+    let tokens = request.engine_work().map_or(0, |work| work.prompt);
     let in_flight = InFlight::begin(state.clone(), server, tokens)
         .ok_or_else(|| AttemptFailure::not_sent("rate_limited"))?;
     let sent = send_counted(state, request, in_flight.server(), last_event, choice).await;
     match sent {
-        Ok((response, connection, given)) => {
+        Ok((response, connection, time_limit)) => {
             in_flight.note_read();
-            Ok(ServerAnswer { response, connection, in_flight, given })
+            Ok(ServerAnswer { response, connection, in_flight, time_limit })
         }
         Err(failure) => {
             in_flight.end(failure.outcome);
@@ -202,7 +202,7 @@
 
 async fn send_counted(
     state: &Arc<EntryState>,
-    request: &RequestPlan,
+    request: &AdmittedRequest,
     server: &ChosenServer,
     last_event: Option<u64>,
     mut choice: ConnectionChoice,
@@ -216,9 +216,9 @@
             state.connections.put_back(connection);
             return Err(AttemptFailure::not_sent(ineligible.as_str()));
         }
-        let given = time_given(state, request, server);
+        let time_limit = server_time_limit(state, request, server);
         let facts = SendFacts {
-            deadline: Some(given.time),
+            deadline: Some(time_limit.time),
             server: Some(server.id.clone()),
             tenant: request.tenant.clone(),
             last_event,
@@ -245,9 +245,9 @@
                 continue;
             }
             Ok(Err(error)) => {
-                let mut failure = AttemptFailure::lost(BROKEN_OFF, error.message);
+                let mut failure = AttemptFailure::lost(CONNECTION_CLOSED, error.message);
                 failure.verdict = error.verdict;
-                failure.arrived = error.verdict != RunVerdict::NotRun;
+                failure.reached_server = error.verdict != RunVerdict::NotRun;
                 return Err(failure);
             }
         };
@@ -257,34 +257,38 @@
             state.apply_signals(server, sent_at, &facts);
         }
         let (response, connection) = check_answer(request, facts, response, connection)?;
-        return Ok((response, connection, given));
+        return Ok((response, connection, time_limit));
     }
 }
 
 /// Part of the time that a whole answer is expected to take which a server with older weights is
 /// given at least, in percent: slower engines and longer queues than foreseen.
-const FINISH_PERCENT: u32 = 150;
+const MIN_ANSWER_TIME_PERCENT: u32 = 150;
 
 /// Time that a server is given for what it is sent now.
 ///
 /// With older weights it must not begin late, and is given no longer than these may be used. But a
 /// server stops at its deadline also in the middle of a stream, and then nobody may be there to go
 /// on: it is always given the time that the whole answer is expected to take.
-pub fn time_given(state: &EntryState, request: &RequestPlan, server: &ChosenServer) -> LimitedTime {
-    let left = LimitedTime::new(request.left(state), request.limit);
+pub fn server_time_limit(
+    state: &EntryState,
+    request: &AdmittedRequest,
+    server: &ChosenServer,
+) -> LimitedTime {
+    let left = LimitedTime::new(request.time_left(state), request.limit);
     let Some(figures) = &request.engine else { return left };
     let model = request.facts.model.as_deref();
     let Some(work_time) = state.work_time(model, server.version) else { return left };
     let first = server.predicted.unwrap_or_default();
     let whole = whole_answer(figures, first, request.facts.answer_tokens);
-    let time = work_time.max(whole * FINISH_PERCENT / 100);
+    let time = work_time.max(whole * MIN_ANSWER_TIME_PERCENT / 100);
     left.least(Some(LimitedTime::new(time, TimeLimit::Weights)))
 }
 
 /// The least version of weights that may answer what is sent now.
-pub fn least_version(state: &EntryState, request: &RequestPlan) -> Option<WeightVersion> {
+pub fn min_version(state: &EntryState, request: &AdmittedRequest) -> Option<WeightVersion> {
     request.engine.as_ref()?;
-    state.least_version(request.facts.model.as_deref())
+    state.min_version(request.facts.model.as_deref())
 }
 
 async fn connect(
@@ -293,20 +297,20 @@
     choice: ConnectionChoice,
     until: Instant,
 ) -> Result<(HeldConnection, bool), AttemptFailure> {
-    let time = until.saturating_duration_since(Instant::now()).min(CONNECT_TIME);
+    let time = until.saturating_duration_since(Instant::now()).min(CONNECT_TIMEOUT);
     let connected = state.connections.get(server.address, choice, time).await;
     connected.map_err(|error| AttemptFailure {
         verdict: RunVerdict::NotRun,
         outcome: ServerOutcome::Lost,
         cause: "not_connected",
         detail: error.message,
-        arrived: false,
+        reached_server: false,
     })
 }
 
 /// Tells an answer to this request from refusals and from answers to others.
 fn check_answer(
-    request: &RequestPlan,
+    request: &AdmittedRequest,
     facts: AnswerFacts,
     response: Response<Incoming>,
     connection: HeldConnection,
@@ -322,7 +326,7 @@
         };
         let cause = if facts.misdirected { "misdirected" } else { "server_refused" };
         let (verdict, detail) = (RunVerdict::NotRun, response.status().to_string());
-        return Err(AttemptFailure { verdict, outcome, cause, detail, arrived: true });
+        return Err(AttemptFailure { verdict, outcome, cause, detail, reached_server: true });
     }
     if response.headers().contains_key(header::CONTENT_ENCODING) {
         return Err(AttemptFailure::lost("encoded_answer", String::new()));
--- a/crates/daemon/src/direct/body_memory.rs
+++ b/crates/daemon/src/direct/body_memory.rs
@@ -12,24 +12,24 @@
     time::Instant,
 };
 
-use super::answer::GivenUp;
+use super::answer::ErrorResponse;
 
 /// Bytes that one permit stands for.
 const PERMIT_BYTES: usize = 1 << 10;
 
 /// Time to come back where bodies take all the memory that they may.
-const FULL_REST: Duration = Duration::from_millis(700);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// Part of an entry's memory that bodies of requests may take, as a divisor; those of answers may take as
 /// much. The rest is for connections, the plan and the list of servers.
-pub const MEMORY_PARTS: u64 = 5;
+pub const BODY_MEMORY_DIVISOR: u64 = 5;
 
 /// The memory that bodies may take.
 #[derive(Debug, Clone)]
 pub struct BodyMemory {
     permits: Arc<Semaphore>,
     /// Permits in all.
-    all: u32,
+    total_permits: u32,
 }
 
 /// A body and its part of the memory, which is free again when the last copy of this is dropped.
@@ -47,9 +47,9 @@
 impl BodyMemory {
     /// At most `size` for all bodies together.
     pub fn new(size: ByteSize) -> Self {
-        let all = u32::try_from(size.bytes() / PERMIT_BYTES as u64).unwrap_or(u32::MAX);
-        let permits = (all as usize).min(Semaphore::MAX_PERMITS);
-        Self { permits: Arc::new(Semaphore::new(permits)), all }
+        let total_permits = u32::try_from(size.bytes() / PERMIT_BYTES as u64).unwrap_or(u32::MAX);
+        let permits = (total_permits as usize).min(Semaphore::MAX_PERMITS);
+        Self { permits: Arc::new(Semaphore::new(permits)), total_permits }
     }
 
     /// Reads the body of a request, `most` bytes at most. A body whose length is announced is refused
@@ -58,49 +58,49 @@
         &self,
         parts: &Parts,
         mut body: B,
-        most: usize,
-        until: Instant,
-    ) -> Result<HeldBody, GivenUp>
+        max_bytes: usize,
+        deadline: Instant,
+    ) -> Result<HeldBody, ErrorResponse>
     where
         B: Body<Data = Bytes> + Unpin,
     {
-        let too_long = || GivenUp::denied(StatusCode::PAYLOAD_TOO_LARGE, "body_too_long");
+        let too_long = || ErrorResponse::denied(StatusCode::PAYLOAD_TOO_LARGE, "body_too_long");
         let announced = announced_length(parts);
-        if announced > most {
+        if announced > max_bytes {
             return Err(too_long());
         }
-        let mut counted = permits(announced);
-        let mut held = self.take_now(counted)?;
+        let mut reserved = permits(announced);
+        let mut held = self.try_reserve(reserved)?;
         let mut bytes = BytesMut::with_capacity(announced);
         loop {
-            let frame = tokio::time::timeout_at(until, body.frame()).await;
-            let late = |_| GivenUp::denied(StatusCode::REQUEST_TIMEOUT, "body_too_slow");
+            let frame = tokio::time::timeout_at(deadline, body.frame()).await;
+            let late = |_| ErrorResponse::denied(StatusCode::REQUEST_TIMEOUT, "body_too_slow");
             let Some(frame) = frame.map_err(late)? else { break };
-            let broken = |_| GivenUp::denied(StatusCode::BAD_REQUEST, "body_broken");
+            let broken = |_| ErrorResponse::denied(StatusCode::BAD_REQUEST, "body_broken");
             let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
-            if bytes.len() + data.len() > most {
+            if bytes.len() + data.len() > max_bytes {
                 return Err(too_long());
             }
             bytes.extend_from_slice(&data);
-            let needed = permits(bytes.len()).max(counted);
-            held = merge(held, self.take_now(needed - counted)?);
-            counted = needed;
+            let needed = permits(bytes.len()).max(reserved);
+            held = merge(held, self.try_reserve(needed - reserved)?);
+            reserved = needed;
         }
         Ok(HeldBody { bytes: bytes.freeze(), _permit: held.map(Arc::new) })
     }
 
     /// Waits until there is room for `bytes` more, or for as much of them as there can be.
-    pub async fn take(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        let wanted = permits(bytes).min(self.all);
+    pub async fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
+        let wanted = permits(bytes).min(self.total_permits);
         self.permits.clone().acquire_many_owned(wanted).await.ok()
     }
 
-    fn take_now(&self, permits: u32) -> Result<Option<OwnedSemaphorePermit>, GivenUp> {
+    fn try_reserve(&self, permits: u32) -> Result<Option<OwnedSemaphorePermit>, ErrorResponse> {
         if permits == 0 {
             return Ok(None);
         }
         let taken = self.permits.clone().try_acquire_many_owned(permits);
-        taken.map(Some).map_err(|_| GivenUp::refused("memory_full", FULL_REST))
+        taken.map(Some).map_err(|_| ErrorResponse::refused("memory_full", FULL_RETRY_AFTER))
     }
 }
 
--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -28,13 +28,13 @@
 /// Time after a stop is asked for in which callers may still be sent here: the balancer asks each
 /// second and needs two bad answers. What is taken later than three seconds must come to its end
 /// within the grace, and nothing tells whether it can.
-const UNREADY_TIME: Duration = Duration::from_millis(2700);
+const UNREADY_DELAY: Duration = Duration::from_millis(2700);
 
 /// Time before the end of the grace at which a stop ends in any case.
 const GRACE_RESERVE: Duration = Duration::from_millis(400);
 
 /// How often a stop looks whether requests are still held.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry that runs.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
 
 impl DirectEntry {
     /// Starts an entry that keeps in a store which requests it refuses.
-    pub async fn start_keeping(
+    pub async fn start_with_quarantines(
         settings: DirectEntrySettings,
         store: Arc<dyn FactStore>,
         headers: Arc<dyn HeaderForm>,
@@ -128,10 +128,10 @@
     }
 
     async fn drain(&self) {
-        tokio::time::sleep(UNREADY_TIME).await;
+        tokio::time::sleep(UNREADY_DELAY).await;
         self.stop.stop();
         while !self.front.is_finished() || self.held() > 0 {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -143,50 +143,50 @@
 fn follow_all(state: &Arc<EntryState>, store: &Arc<dyn FactStore>) -> Vec<JoinHandle<()>> {
     let others: Arc<dyn ReadGate> = Arc::new(TopicGate(state.clone()));
     let topics = [
-        TopicReading {
+        TopicSubscription {
             topic: FactTopic::Plan,
-            nudge: state.plan_nudge.clone(),
+            refresh: state.plan_refresh.clone(),
             gate: state.clone(),
-            take: EntryState::hear_plan,
+            apply: EntryState::apply_plan_update,
         },
-        TopicReading {
+        TopicSubscription {
             topic: FactTopic::Servers,
-            nudge: state.servers_nudge.clone(),
+            refresh: state.servers_refresh.clone(),
             gate: others.clone(),
-            take: EntryState::hear_servers,
+            apply: EntryState::apply_servers_update,
         },
-        TopicReading {
+        TopicSubscription {
             topic: FactTopic::Weights,
-            nudge: state.weights_nudge.clone(),
+            refresh: state.weights_refresh.clone(),
             gate: others,
-            take: EntryState::hear_weights,
+            apply: EntryState::apply_weights_update,
         },
     ];
-    let evacuations = state.settings.direct.reads_evacuations.then(|| TopicReading {
+    let evacuations = state.settings.direct.reads_evacuations.then(|| TopicSubscription {
         topic: FactTopic::Evacuations,
-        nudge: state.evacuations_nudge.clone(),
+        refresh: state.evacuations_refresh.clone(),
         gate: Arc::new(TopicGate(state.clone())),
-        take: EntryState::hear_evacuations,
+        apply: EntryState::apply_evacuations_update,
     });
     let topics = topics.into_iter().chain(evacuations);
-    topics.map(|reading| reading.follow(state.clone(), store.clone())).collect()
+    topics.map(|subscription| subscription.follow(state.clone(), store.clone())).collect()
 }
 
 /// How an entry follows one topic of the store.
-struct TopicReading {
+struct TopicSubscription {
     topic: FactTopic,
-    nudge: Arc<Notify>,
+    refresh: Arc<Notify>,
     gate: Arc<dyn ReadGate>,
-    take: fn(&EntryState, FactNews),
+    apply: fn(&EntryState, FactNews),
 }
 
-impl TopicReading {
+impl TopicSubscription {
     fn follow(self, state: Arc<EntryState>, store: Arc<dyn FactStore>) -> JoinHandle<()> {
-        let Self { topic, nudge, gate, take } = self;
+        let Self { topic, refresh, gate, apply } = self;
         keep_running(topic.as_str(), move || {
             let state = state.clone();
-            follow(store.clone(), topic, nudge.clone(), gate.clone(), move |news| {
-                take(&state, news);
+            follow(store.clone(), topic, refresh.clone(), gate.clone(), move |news| {
+                apply(&state, news);
             })
         })
     }
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -91,7 +91,7 @@
                     notices.hear(&buffer[..length]);
                 }
             }
-            () = state.load_news.notified() => notices.tell_changes(),
+            () = state.loads_changed.notified() => notices.tell_changes(),
             _ = ticks.tick() => notices.tick(),
             _ = news_ticks.tick(), if relays => notices.relay_news(),
         }
@@ -109,7 +109,7 @@
 
     fn tick(&mut self) {
         self.ticks += 1;
-        self.state.note_sleep();
+        self.state.handle_suspension();
         let now = self.state.now();
         if self.state.refresh_loads() || self.ticks.is_multiple_of(REFRESH_TICKS) {
             self.state.refresh_notices();
@@ -302,19 +302,19 @@
 /// Takes in what a notice says besides its sender's load; tells whether a server has said that it is
 /// about to change.
 fn take_facts(state: &EntryState, outcome: &NoticeOutcome, notice: &PeerNotice) -> bool {
-    state.hear_wanted(&notice.wanted);
+    state.merge_wanted_versions(&notice.wanted);
     if outcome.after_silence {
-        state.read_store_anew();
+        state.reread_store();
     }
     if notice.kind == PeerKind::Entry && !notice.changes_only {
-        state.hear_peer_plan(PlanVersion(notice.plan));
+        state.record_peer_plan_version(PlanVersion(notice.plan));
     }
-    state.hear_leaving(&notice.leaving);
+    state.merge_leaving(&notice.leaving);
     state.merge_draining(&notice.draining_lives);
     state.merge_limits(&notice.limits);
-    state.take_evacuated(&notice.evacuated);
-    state.quarantine.hear(state.now(), &notice.suspects);
-    state.hear_peer_servers(notice.servers);
+    state.merge_evacuated(&notice.evacuated);
+    state.quarantine.merge_notices(state.now(), &notice.suspects);
+    state.record_peer_servers_mark(notice.servers);
     if outcome.joined {
         decisions::note("peers", "found", json!({ "peer": notice.from }));
     }
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -24,9 +24,9 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::{AnswerBody, GivenUp},
+    answer::{AnswerBody, ErrorResponse},
     attempt::{self, AttemptFailure, ServerAnswer, is_failure},
-    handler::RequestPlan,
+    handler::AdmittedRequest,
     relay, server_end,
     state::EntryState,
 };
@@ -41,26 +41,26 @@
 const LOAD_SHED: &str = "load_shed";
 
 /// Cause of a refusal where no server of the regions that may run a request can.
-const NOT_ALLOWED: &str = "no_server_in_allowed_regions";
+const NO_SERVER_IN_ALLOWED_REGIONS: &str = "no_server_in_allowed_regions";
 
 /// Servers that one request reaches at most, those that refused it among them.
-const MOST_ARRIVALS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 
 /// Least time to come back when every server is full, in milliseconds.
-const FULL_REST_MS: u64 = 700;
+const OVERLOAD_RETRY_AFTER_MS: u64 = 700;
 
 /// Spread of the time to come back, so that callers do not come together.
-const FULL_SPREAD_MS: u64 = 1000;
+const OVERLOAD_RETRY_JITTER_MS: u64 = 1000;
 
 /// Time for which a repeatable request waits for an answer before another server is tried, as a
 /// multiple of its objective.
-const PATIENCE: u32 = 3;
+const RESPONSE_TIMEOUT_FACTOR: u32 = 3;
 
 /// Least time left in which another server is tried: a round trip and a first event.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(20);
 
 /// Least patience.
-const LEAST_PATIENCE: Duration = Duration::from_millis(1200);
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The attempts of one request so far.
 #[derive(Debug)]
@@ -68,19 +68,19 @@
     /// This entry.
     pub state: Arc<EntryState>,
     /// The request.
-    pub request: RequestPlan,
+    pub request: AdmittedRequest,
     tried: Vec<ServerId>,
     /// The server of the next sending, chosen while the last one was silent.
     pub reserved: Option<ChosenServer>,
     /// Sendings that reached a server.
-    arrivals: u32,
+    sends: u32,
     /// Those of them that may have run.
-    runs: u32,
+    possible_runs: u32,
     verdict: Option<RunVerdict>,
     /// A server said nothing in time.
-    met_silence: bool,
+    had_timeout: bool,
     /// The caller has the head of the answer.
-    pub begun: bool,
+    pub answer_begun: bool,
     /// When the request came, by this entry's clock.
     pub arrived: Moment,
     /// First token of the first sending, as it was predicted; none for plain services.
@@ -90,29 +90,29 @@
 /// Passes a request on and returns its answer.
 pub async fn run(
     state: &Arc<EntryState>,
-    request: RequestPlan,
-) -> Result<Response<AnswerBody>, GivenUp> {
+    request: AdmittedRequest,
+) -> Result<Response<AnswerBody>, ErrorResponse> {
     state.retries().note_request(state.now(), &request.service);
     let mut exchange = Exchange {
         state: state.clone(),
         request,
         tried: Vec::new(),
         reserved: None,
-        arrivals: 0,
-        runs: 0,
+        sends: 0,
+        possible_runs: 0,
         verdict: None,
-        met_silence: false,
-        begun: false,
+        had_timeout: false,
+        answer_begun: false,
         arrived: state.now(),
         predicted: None,
     };
-    exchange.count(RequestStep::Came);
+    exchange.count_step(RequestStep::Came);
     loop {
         let server = exchange.next_server().map_err(|cause| exchange.give_up(cause))?;
         let answer = match exchange.send(server, None).await {
             Ok(answer) => answer,
             Err(failure) => {
-                exchange.note_failure(&failure).map_err(|cause| exchange.give_up(cause))?;
+                exchange.record_failure(&failure).map_err(|cause| exchange.give_up(cause))?;
                 continue;
             }
         };
@@ -135,7 +135,7 @@
         match exchange.collect(answer).await {
             Ok(response) => return Ok(response),
             Err(failure) => {
-                exchange.note_failure(&failure).map_err(|cause| exchange.give_up(cause))?;
+                exchange.record_failure(&failure).map_err(|cause| exchange.give_up(cause))?;
             }
         }
     }
@@ -143,7 +143,7 @@
 
 impl Exchange {
     /// Counts how far this request has come.
-    fn count(&self, step: RequestStep) {
+    fn count_step(&self, step: RequestStep) {
         let request = &self.request;
         self.state.metrics.count_step(&request.route.name, request.size, step);
     }
@@ -154,7 +154,7 @@
         let fields = json!({
             "request": self.request.id, "route": self.request.route.name,
             "service": self.request.service, "plan": self.request.plan, "held_ms": held_ms,
-            "attempt": self.arrivals, "content": self.request.digests.whole.to_string(),
+            "attempt": self.sends, "content": self.request.digests.whole.to_string(),
             "body_bytes": self.request.body.bytes.len(), "prompt_tokens": self.request.facts.prompt_tokens,
             "answer_tokens": self.request.facts.answer_tokens,
             "more": fields,
@@ -174,16 +174,16 @@
     }
 
     fn choose(&self, regions: &AllowedRegions) -> ServerChoice {
-        let engine = self.request.engine.as_ref().zip(self.request.work());
+        let engine = self.request.engine.as_ref().zip(self.request.engine_work());
         let query = ServerQuery {
             service: &self.request.service,
             engine: engine.map(|(figures, work)| EngineQuery {
                 figures,
                 work,
-                continues: self.begun,
+                continues: self.answer_begun,
             }),
             regions,
-            least: attempt::least_version(&self.state, &self.request),
+            least: attempt::min_version(&self.state, &self.request),
             tried: &self.tried,
             draw: rand::rng().random(),
         };
@@ -193,7 +193,7 @@
     /// The part of the new requests that is refused, if this one belongs to it. What has been sent once
     /// has been let in.
     fn shed_share(&self, regions: &AllowedRegions, choice: &ServerChoice) -> Option<f64> {
-        let (figures, work) = self.request.engine.as_ref().zip(self.request.work())?;
+        let (figures, work) = self.request.engine.as_ref().zip(self.request.engine_work())?;
         if !self.tried.is_empty() {
             return None;
         }
@@ -214,12 +214,12 @@
 
     /// Whether that holds after `further` sendings more.
     fn has_attempts_after(&self, further: u32) -> bool {
-        let (runs, arrivals) = (self.runs + further, self.arrivals + further);
-        runs < self.request.route.max_attempts && arrivals < MOST_ARRIVALS
+        let (possible_runs, sends) = (self.possible_runs + further, self.sends + further);
+        possible_runs < self.request.route.max_attempts && sends < MAX_SENDS
     }
 
     /// Whether the next sending to a server is the last one allowed.
-    pub fn is_last_sending(&self) -> bool {
+    pub fn is_final_attempt(&self) -> bool {
         !self.has_attempts_after(1)
     }
 
@@ -235,11 +235,11 @@
         // The same content may have ended servers at other entries, or under an earlier id: attempts of
         // this request say nothing of that.
         let (now, digests) = (self.state.now(), &self.request.digests);
-        if self.state.quarantine.note_coming(now, digests).is_some() {
+        if self.state.quarantine.check_request(now, digests).is_some() {
             return Err(QUARANTINED);
         }
-        let least = if self.arrivals > 0 { LEAST_LEFT } else { Duration::ZERO };
-        if self.request.left(&self.state) <= least {
+        let least = if self.sends > 0 { MIN_TIME_FOR_RETRY } else { Duration::ZERO };
+        if self.request.time_left(&self.state) <= least {
             return Err("deadline");
         }
         if !self.has_attempts() {
@@ -256,33 +256,36 @@
             ServerChoice::Full(full) => {
                 self.state.metrics.count_excluded("rate_limit", full.rate_limited);
                 self.state.metrics.count_excluded("retry_after", full.backing_off);
-                self.log("servers_full", describe_full(&full));
+                self.log("servers_full", full_servers_fields(&full));
                 return Err("servers_full");
             }
             ServerChoice::Nobody if regions == AllowedRegions::Anywhere => return Err("no_server"),
             ServerChoice::Nobody => {
-                self.log(NOT_ALLOWED, json!({ "allowed_regions": regions.to_string() }));
-                return Err(NOT_ALLOWED);
+                self.log(
+                    NO_SERVER_IN_ALLOWED_REGIONS,
+                    json!({ "allowed_regions": regions.to_string() }),
+                );
+                return Err(NO_SERVER_IN_ALLOWED_REGIONS);
             }
         };
-        if self.arrivals > 0 {
+        if self.sends > 0 {
             let entries = self.state.entries();
             let now = self.state.now();
             if !self.state.retries().take(now, &self.request.service, entries) {
                 return Err("retry_budget");
             }
         }
-        let given = attempt::time_given(&self.state, &self.request, &server);
+        let time_limit = attempt::server_time_limit(&self.state, &self.request, &server);
         let fields = json!({
-            "given_ms": given.time.as_millis() as u64, "given_by": given.limit,
+            "given_ms": time_limit.time.as_millis() as u64, "given_by": time_limit.limit,
             "server": server.id, "own": server.own.in_flight, "others": server.others.in_flight,
             "waiting_tokens": server.own.waiting_tokens + server.others.waiting_tokens,
             "predicted_ms": server.predicted.map(|time| time.as_millis() as u64),
-            "limit": server.limit, "rate_limit": server.rate_limit, "version": server.version, "least": attempt::least_version(&self.state, &self.request),
+            "limit": server.limit, "rate_limit": server.rate_limit, "version": server.version, "least": attempt::min_version(&self.state, &self.request),
             "allowed_regions": regions.to_string(),
         });
         if self.tried.is_empty() {
-            self.count(RequestStep::Admitted);
+            self.count_step(RequestStep::Admitted);
         }
         self.log("server_chosen", fields);
         Ok(server)
@@ -296,21 +299,21 @@
     ) -> Result<ServerAnswer, AttemptFailure> {
         self.tried.push(server.id.clone());
         self.predicted = self.predicted.or(server.predicted);
-        self.arrivals += 1;
-        self.runs += 1;
-        let (sent, reserved) = self.send_patiently(server.clone(), last_event).await;
+        self.sends += 1;
+        self.possible_runs += 1;
+        let (sent, reserved) = self.send_with_timeout(server.clone(), last_event).await;
         self.reserved = reserved;
         if let Ok(answer) = &sent
             && !(self.request.repeatable && self.has_attempts())
         {
-            answer.in_flight.note_last();
+            answer.in_flight.mark_final_attempt();
         }
         if let Err(failure) = &sent {
-            self.met_silence |= failure.cause == attempt::NO_ANSWER;
-            self.arrivals -= u32::from(!failure.arrived);
-            self.runs -= u32::from(failure.verdict == RunVerdict::NotRun);
-            if failure.is_break() {
-                self.note_break(&server, EndedRun::Silent).await;
+            self.had_timeout |= failure.cause == attempt::NO_ANSWER;
+            self.sends -= u32::from(!failure.reached_server);
+            self.possible_runs -= u32::from(failure.verdict == RunVerdict::NotRun);
+            if failure.is_connection_break() {
+                self.handle_connection_break(&server, EndedRun::Silent).await;
             }
         }
         sent
@@ -318,7 +321,7 @@
 
     /// Finds out what it means that a server broke off while it had this request, of which it had
     /// brought what `run` says.
-    pub async fn note_break(&self, server: &ChosenServer, run: EndedRun) {
+    pub async fn handle_connection_break(&self, server: &ChosenServer, run: EndedRun) {
         if !server_end::has_ended(&self.state, server).await {
             return;
         }
@@ -330,28 +333,29 @@
         });
         self.log("server_ended", fields);
         if !planned {
-            self.state.quarantine.note_end(self.state.now(), digests, server.life, run);
+            self.state.quarantine.record_server_end(self.state.now(), digests, server.life, run);
         }
     }
 
     /// Sends to `server` and waits; where it is silent, until another one is had in its place: without
     /// that it is the only one who may still answer.
-    async fn send_patiently(
+    async fn send_with_timeout(
         &self,
         server: ChosenServer,
         last_event: Option<u64>,
     ) -> (Result<ServerAnswer, AttemptFailure>, Option<ChosenServer>) {
-        let (request, address, begun) = (&self.request, server.address, Instant::now());
+        let (request, address, sent_at) = (&self.request, server.address, Instant::now());
         let choice = self.connection_choice();
         let sending = attempt::send(&self.state, request, server, last_event, choice);
         let mut sending = pin!(sending);
         if !request.repeatable {
             return (sending.await, None);
         }
-        let patience = (request.route.objective() * PATIENCE).max(LEAST_PATIENCE);
-        let mut until = begun + patience;
+        let timeout =
+            (request.route.objective() * RESPONSE_TIMEOUT_FACTOR).max(MIN_RESPONSE_TIMEOUT);
+        let mut until = sent_at + timeout;
         let (state, digests) = (&self.state, &request.digests);
-        let mut refused = pin!(state.quarantine.until_refused(|| state.now(), digests));
+        let mut refused = pin!(state.quarantine.wait_until_refused(|| state.now(), digests));
         loop {
             let sent = tokio::select! {
                 sent = tokio::time::timeout_at(until, &mut sending) => sent,
@@ -362,10 +366,10 @@
                 return (sent, None);
             }
             if let Ok(next) = self.pick_server() {
-                self.state.connections.forget_unheard(address, begun);
+                self.state.connections.forget_unheard(address, sent_at);
                 return (Err(AttemptFailure::no_answer()), Some(next));
             }
-            until += patience;
+            until += timeout;
         }
     }
 
@@ -374,14 +378,14 @@
     /// to other servers may have as well, so that a second one would cost the caller the rest of the
     /// objective.
     fn connection_choice(&self) -> ConnectionChoice {
-        match self.request.repeatable && !self.met_silence {
+        match self.request.repeatable && !self.had_timeout {
             true => ConnectionChoice::Kept,
             false => ConnectionChoice::Fresh,
         }
     }
 
     /// Takes in a failed sending; the cause, if it may not be sent again.
-    pub fn note_failure(&mut self, failure: &AttemptFailure) -> Result<(), &'static str> {
+    pub fn record_failure(&mut self, failure: &AttemptFailure) -> Result<(), &'static str> {
         let server = self.tried.last();
         let fields = json!({
             "server": server, "verdict": failure.verdict.as_str(), "cause": failure.cause,
@@ -400,20 +404,24 @@
     }
 
     /// The final answer of a request that is not passed on any more.
-    pub fn give_up(&self, cause: &'static str) -> GivenUp {
+    pub fn give_up(&self, cause: &'static str) -> ErrorResponse {
         let verdict = self.verdict.unwrap_or(RunVerdict::NotRun);
         let given_up = match verdict {
-            RunVerdict::NotRun if cause == QUARANTINED => GivenUp::refused(cause, QUARANTINE_TIME),
-            RunVerdict::NotRun => GivenUp::refused(cause, self.time_to_come_back()),
-            _ if cause == "deadline" => GivenUp::unsure(StatusCode::GATEWAY_TIMEOUT, cause),
-            _ => GivenUp::unsure(StatusCode::BAD_GATEWAY, cause),
+            RunVerdict::NotRun if cause == QUARANTINED => {
+                ErrorResponse::refused(cause, QUARANTINE_TIME)
+            }
+            RunVerdict::NotRun => ErrorResponse::refused(cause, self.retry_after()),
+            _ if cause == "deadline" => {
+                ErrorResponse::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, cause)
+            }
+            _ => ErrorResponse::outcome_unknown(StatusCode::BAD_GATEWAY, cause),
         };
         let rest = given_up.retry_after.map(|rest| rest.as_millis() as u64);
         let fields = json!({
             "cause": cause, "verdict": verdict.as_str(), "status": given_up.status.as_u16(),
             "retry_after_ms": rest, "entries": self.state.entries(),
         });
-        self.count(match verdict {
+        self.count_step(match verdict {
             RunVerdict::NotRun => RequestStep::Refused,
             _ => RequestStep::Failed,
         });
@@ -422,15 +430,15 @@
     }
 
     /// Time after which the caller of a request that has not run may come back.
-    fn time_to_come_back(&self) -> Duration {
+    fn retry_after(&self) -> Duration {
         let rest = self.state.servers().retry_after(self.state.now(), &self.request.service);
-        full_rest().max(rest.unwrap_or_default())
+        overload_retry_after().max(rest.unwrap_or_default())
     }
 
     /// Writes down that a begun answer ends before it is whole: the caller's connection closes.
-    pub fn cut(&self, cause: &'static str, fields: serde_json::Value) {
+    pub fn record_cut(&self, cause: &'static str, fields: serde_json::Value) {
         self.state.metrics.count_request(RunVerdict::MayHaveRun);
-        self.count(RequestStep::Cut);
+        self.count_step(RequestStep::Cut);
         let fields = json!({ "cause": cause, "limit": self.request.limit, "stream": fields });
         self.log("stream_cut", fields);
     }
@@ -438,9 +446,9 @@
     /// Writes down the end of the request, whose answer began `first` after it came.
     pub fn finish(&self, event: &str, first: Duration, fields: serde_json::Value) {
         self.state.metrics.count_request(RunVerdict::Ran);
-        self.state.quarantine.note_whole(self.state.now(), &self.request.digests);
+        self.state.quarantine.record_whole_answer(self.state.now(), &self.request.digests);
         let objective = self.request.route.objective();
-        self.count(match objective.is_zero() || first <= objective {
+        self.count_step(match objective.is_zero() || first <= objective {
             true => RequestStep::InTime,
             false => RequestStep::Late,
         });
@@ -450,7 +458,7 @@
 }
 
 /// What kept the request from every server, for logs.
-fn describe_full(full: &FullServers) -> serde_json::Value {
+fn full_servers_fields(full: &FullServers) -> serde_json::Value {
     json!({
         "limited": full.limited, "late": full.late, "left_to_near": full.left_to_near,
         "rate_limited": full.rate_limited, "backing_off": full.backing_off,
@@ -458,7 +466,7 @@
     })
 }
 
-fn full_rest() -> Duration {
-    let spread = rand::rng().random_range(0..FULL_SPREAD_MS);
-    Duration::from_millis(FULL_REST_MS + spread)
+fn overload_retry_after() -> Duration {
+    let spread = rand::rng().random_range(0..OVERLOAD_RETRY_JITTER_MS);
+    Duration::from_millis(OVERLOAD_RETRY_AFTER_MS + spread)
 }
--- a/crates/daemon/src/direct/exchange/collect.rs
+++ b/crates/daemon/src/direct/exchange/collect.rs
@@ -9,12 +9,12 @@
 
 use super::Exchange;
 use crate::direct::{
-    answer::{AnswerBody, BodyFailure, strip_connection, whole},
+    answer::{AnswerBody, BodyError, full_body, strip_hop_by_hop_headers},
     attempt::{self, AttemptFailure, ServerAnswer, is_failure},
 };
 
 /// Largest answer that is not a stream.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 impl Exchange {
     /// Reads an answer that is not a stream and makes it the caller's.
@@ -26,12 +26,12 @@
         let server = in_flight.server().clone();
         let (mut parts, body) = response.into_parts();
         // What is waited for is not read, so that the server keeps it.
-        let announced = body.size_hint().lower().min(MOST_ANSWER as u64) as usize;
-        let memory = self.state.answer_memory.take(announced);
-        let collected = Limited::new(body, MOST_ANSWER).collect();
+        let announced = body.size_hint().lower().min(MAX_ANSWER_BYTES as u64) as usize;
+        let memory = self.state.answer_memory.reserve(announced);
+        let collected = Limited::new(body, MAX_ANSWER_BYTES).collect();
         let collected = async {
             let memory = memory.await;
-            Ok::<_, BodyFailure>((memory, collected.await?))
+            Ok::<_, BodyError>((memory, collected.await?))
         };
         let collected = tokio::time::timeout_at(self.request.deadline, collected).await;
         let (memory, body) = match collected {
@@ -40,7 +40,7 @@
                 in_flight.end(ServerOutcome::Lost);
                 let detail = match other {
                     Ok(Err(error)) => {
-                        self.note_break(&server, EndedRun::Begun).await;
+                        self.handle_connection_break(&server, EndedRun::Begun).await;
                         error.to_string()
                     }
                     _ => "it did not end in time".to_owned(),
@@ -50,18 +50,18 @@
                     outcome: ServerOutcome::Lost,
                     cause: attempt::ANSWER_CUT,
                     detail,
-                    arrived: true,
+                    reached_server: true,
                 });
             }
         };
         let failed = is_failure(parts.status);
         in_flight.end(if failed { ServerOutcome::Failed } else { ServerOutcome::Answered });
         self.state.connections.put_back(connection);
-        strip_connection(&mut parts.headers);
+        strip_hop_by_hop_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let fields = json!({ "server": self.tried.last(), "status": parts.status.as_u16() });
         self.finish("answered", self.state.now().since(self.arrived), fields);
-        let body = whole(body).map_frame(move |frame| {
+        let body = full_body(body).map_frame(move |frame| {
             // Counted until the caller has taken it.
             let _ = &memory;
             frame
--- a/crates/daemon/src/direct/front.rs
+++ b/crates/daemon/src/direct/front.rs
@@ -18,14 +18,14 @@
 use super::{handler, state::EntryState};
 
 /// Pause after a failed `accept`, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Least buffer that hyper takes for a head.
-const LEAST_HEAD: usize = 8 << 10;
+const MIN_HEAD_BUFFER: usize = 8 << 10;
 
 /// Added to the time that a kept connection may rest, so that a caller's last request within that
 /// time does not cross the close.
-const REST_SLACK: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 pub(super) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
@@ -37,7 +37,7 @@
             }
             Err(error) => {
                 log::warn!("front: accept failed, {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -60,8 +60,8 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(Duration::from_millis(limits.idle_ms) + REST_SLACK)
-            .max_buf_size(limits.head_bytes.max(LEAST_HEAD))
+            .header_read_timeout(Duration::from_millis(limits.idle_ms) + IDLE_TIMEOUT_MARGIN)
+            .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER))
             .keep_alive(true)
             .serve_connection(TokioIo::new(StallGuard::new(stream, stall)), service);
         let watched = shutdown.watch(connection);
@@ -112,7 +112,7 @@
             lift_quarantine(state, path)
         }
         "/metrics" => {
-            state.measure_ages();
+            state.update_age_metrics();
             (StatusCode::OK, state.metrics.text())
         }
         "/healthz" => (StatusCode::OK, "ok\n".to_owned()),
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -27,7 +27,7 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::{AnswerBody, GivenUp},
+    answer::{AnswerBody, ErrorResponse},
     body_memory::HeldBody,
     exchange,
     state::EntryState,
@@ -35,7 +35,7 @@
 use crate::decisions;
 
 /// Time to come back where no plan is known yet.
-const NO_PLAN_REST: Duration = Duration::from_millis(500);
+const NO_PLAN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Time for which a request that the plan in force does not allow waits for a newer plan that
 /// others have: one from a neighbour comes within 0.1 s, and a caller that is to try elsewhere
@@ -43,11 +43,11 @@
 const NEWER_PLAN_WAIT: Duration = Duration::from_millis(300);
 
 /// Deadline of a request that names none and whose route names none.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// A request that has been let in, with all that its sending needs.
 #[derive(Debug, Clone)]
-pub struct RequestPlan {
+pub struct AdmittedRequest {
     /// Its id as the caller gave it.
     pub id: String,
     /// Method.
@@ -59,7 +59,7 @@
     /// Body.
     pub body: HeldBody,
     /// Whether the caller announced a body, if an empty one.
-    pub announced_body: bool,
+    pub declares_body: bool,
     /// Its route.
     pub route: Route,
     /// The service that answers.
@@ -75,7 +75,7 @@
     /// When it is given up, unless the machine is suspended meanwhile.
     pub deadline: Instant,
     /// Time for which the machine had been suspended when it came.
-    pub slept: Duration,
+    pub suspended_before: Duration,
     /// Whose limit the deadline is.
     pub limit: TimeLimit,
     /// Version of the plan that decided.
@@ -89,16 +89,16 @@
 }
 
 /// Counts a request as held.
-struct Held(Arc<EntryState>);
+struct InProgressGuard(Arc<EntryState>);
 
-impl Held {
+impl InProgressGuard {
     fn new(state: Arc<EntryState>) -> Self {
         state.in_progress.fetch_add(1, Ordering::Relaxed);
         Self(state)
     }
 }
 
-impl Drop for Held {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
@@ -106,7 +106,7 @@
 
 /// Answers one request.
 pub async fn handle(state: Arc<EntryState>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let held = Held::new(state.clone());
+    let held = InProgressGuard::new(state.clone());
     let facts = state.headers.read_request(request.headers());
     let id = facts.id.clone().unwrap_or_default();
     let admitted = admit(&state, request, facts).await;
@@ -149,15 +149,15 @@
     state: &Arc<EntryState>,
     request: Request<Incoming>,
     facts: RequestFacts,
-) -> Result<RequestPlan, GivenUp> {
+) -> Result<AdmittedRequest, ErrorResponse> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let (routes, found) = find_target(state, &parts, facts.key.as_deref()).await?;
-    let FoundRoute { route, tenant } = found;
-    let announced_body = parts.headers.contains_key(header::CONTENT_LENGTH)
+    let RouteMatch { route, tenant } = found;
+    let declares_body = parts.headers.contains_key(header::CONTENT_LENGTH)
         || parts.headers.contains_key(header::TRANSFER_ENCODING);
     let limits = routes.plan().limits;
-    let timeout = if route.timeout_ms == 0 { USUAL_DEADLINE } else { route.timeout() };
+    let timeout = if route.timeout_ms == 0 { DEFAULT_DEADLINE } else { route.timeout() };
     let caller = facts.deadline.map(|time| LimitedTime::new(time, TimeLimit::Caller));
     let held = LimitedTime::new(timeout, TimeLimit::Route).least(caller);
     let deadline = arrived + held.time;
@@ -165,19 +165,21 @@
     let body = read.await?;
     let target = pick_target(&route, rand::rng().random());
     let service = target.map(|target| target.service.clone());
-    let service = service.ok_or_else(|| GivenUp::refused("no_service", NO_PLAN_REST))?;
+    let service =
+        service.ok_or_else(|| ErrorResponse::refused("no_service", NO_PLAN_RETRY_AFTER))?;
     let engine = routes.plan().services.get(&*service).and_then(|service| service.engine.clone());
     let digests = digests_of(&parts, tenant.as_deref(), &body.bytes);
     let size = state.sizes().note(&route.name, ByteSize::from_bytes(body.bytes.len() as u64));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let uri = path.parse().map_err(|_| GivenUp::denied(StatusCode::BAD_REQUEST, "bad_path"))?;
-    Ok(RequestPlan {
+    let uri =
+        path.parse().map_err(|_| ErrorResponse::denied(StatusCode::BAD_REQUEST, "bad_path"))?;
+    Ok(AdmittedRequest {
         id: facts.id.clone().unwrap_or_default(),
         method: parts.method,
         uri,
         headers: parts.headers,
         body,
-        announced_body,
+        declares_body,
         repeatable: route.repeatable(),
         route,
         service,
@@ -185,7 +187,7 @@
         engine,
         arrived,
         deadline,
-        slept: state.slept(),
+        suspended_before: state.suspended_time(),
         limit: held.limit,
         plan: routes.plan().version.0,
         facts,
@@ -196,7 +198,7 @@
 
 /// The route and tenant of a request.
 #[derive(Debug, Clone)]
-struct FoundRoute {
+struct RouteMatch {
     route: Route,
     tenant: Option<String>,
 }
@@ -210,10 +212,11 @@
     state: &EntryState,
     parts: &Parts,
     key: Option<&str>,
-) -> Result<(Arc<RouteTable>, FoundRoute), GivenUp> {
-    let current = || state.routes().ok_or_else(|| GivenUp::refused("no_plan_yet", NO_PLAN_REST));
+) -> Result<(Arc<RouteTable>, RouteMatch), ErrorResponse> {
+    let current =
+        || state.routes().ok_or_else(|| ErrorResponse::refused("no_plan_yet", NO_PLAN_RETRY_AFTER));
     let routes = current()?;
-    let denied = match find_in(&routes, parts, key) {
+    let denied = match match_route(&routes, parts, key) {
         Ok(found) => return Ok((routes, found)),
         Err(denied) => denied,
     };
@@ -222,18 +225,23 @@
     }
     let version = routes.plan().version;
     if !state.plan.newer_than(version, NEWER_PLAN_WAIT).await {
-        return Err(GivenUp::refused("plan_behind", NO_PLAN_REST));
+        return Err(ErrorResponse::refused("plan_behind", NO_PLAN_RETRY_AFTER));
     }
     let routes = current()?;
-    let found = find_in(&routes, parts, key)?;
+    let found = match_route(&routes, parts, key)?;
     Ok((routes, found))
 }
 
-fn find_in(routes: &RouteTable, parts: &Parts, key: Option<&str>) -> Result<FoundRoute, GivenUp> {
+fn match_route(
+    routes: &RouteTable,
+    parts: &Parts,
+    key: Option<&str>,
+) -> Result<RouteMatch, ErrorResponse> {
     let route = find_route(routes, &parts.headers, &parts.uri)?;
     let tenant = routes.tenant(route, key);
-    let tenant = tenant.map_err(|_| GivenUp::denied(StatusCode::UNAUTHORIZED, "unknown_key"))?;
-    Ok(FoundRoute { route: route.clone(), tenant: tenant.map(|tenant| tenant.name.to_string()) })
+    let tenant =
+        tenant.map_err(|_| ErrorResponse::denied(StatusCode::UNAUTHORIZED, "unknown_key"))?;
+    Ok(RouteMatch { route: route.clone(), tenant: tenant.map(|tenant| tenant.name.to_string()) })
 }
 
 fn host_of<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> &'a str {
@@ -256,24 +264,24 @@
     routes: &'a RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
-) -> Result<&'a Route, GivenUp> {
+) -> Result<&'a Route, ErrorResponse> {
     routes.route(host_of(headers, uri), uri.path()).map_err(|denial| match denial {
-        Denial::NoRoute => GivenUp::denied(StatusCode::NOT_FOUND, "no_route"),
-        Denial::UnknownKey => GivenUp::denied(StatusCode::UNAUTHORIZED, "unknown_key"),
+        Denial::NoRoute => ErrorResponse::denied(StatusCode::NOT_FOUND, "no_route"),
+        Denial::UnknownKey => ErrorResponse::denied(StatusCode::UNAUTHORIZED, "unknown_key"),
     })
 }
 
-impl RequestPlan {
+impl AdmittedRequest {
     /// What it asks of an engine; none for plain services.
-    pub fn work(&self) -> Option<EngineWork> {
+    pub fn engine_work(&self) -> Option<EngineWork> {
         let figures = self.engine.as_ref()?;
         Some(EngineWork::new(figures, self.facts.prompt_tokens, self.route.objective()))
     }
 
     /// Time that is left of it, by the caller's clock.
-    pub fn left(&self, state: &EntryState) -> Duration {
+    pub fn time_left(&self, state: &EntryState) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
-        left.saturating_sub(state.slept().saturating_sub(self.slept))
+        left.saturating_sub(state.suspended_time().saturating_sub(self.suspended_before))
     }
 
     /// Whether its answer is a stream.
--- a/crates/daemon/src/direct/plan_sync.rs
+++ b/crates/daemon/src/direct/plan_sync.rs
@@ -134,7 +134,7 @@
     match fetched {
         Ok(plan) => {
             let newer = plan.version > state.plan_version();
-            state.take_plan(plan, "peer");
+            state.apply_plan(plan, "peer");
             newer
         }
         Err(error) => {
--- a/crates/daemon/src/direct/quarantine.rs
+++ b/crates/daemon/src/direct/quarantine.rs
@@ -22,7 +22,7 @@
 
 /// Something that is to be kept, or kept no longer, in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeepingDue {
+pub enum QuarantineWrite {
     /// The request is refused for this long.
     Keep(RequestDigest, Duration),
     /// It is no longer refused.
@@ -31,25 +31,25 @@
 
 /// What one entry knows of requests under which servers ended, shared by its parts.
 #[derive(Debug, Default)]
-pub struct QuarantineDesk {
+pub struct Quarantine {
     table: Mutex<SuspectTable>,
     /// Wakes those who wait for an answer to a request: it may be refused now.
-    refused: Notify,
-    due: Mutex<Vec<KeepingDue>>,
-    due_news: Notify,
+    newly_refused: Notify,
+    pending_writes: Mutex<Vec<QuarantineWrite>>,
+    writes_pending: Notify,
 }
 
-impl QuarantineDesk {
+impl Quarantine {
     fn table(&self) -> MutexGuard<'_, SuspectTable> {
         self.table.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    fn due(&self) -> MutexGuard<'_, Vec<KeepingDue>> {
-        self.due.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn pending_writes(&self) -> MutexGuard<'_, Vec<QuarantineWrite>> {
+        self.pending_writes.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// A request comes; the time for which it is refused, if it is.
-    pub fn note_coming(&self, now: Moment, digests: &RequestDigests) -> Option<Duration> {
+    pub fn check_request(&self, now: Moment, digests: &RequestDigests) -> Option<Duration> {
         let mut table = self.table();
         digests.iter().filter_map(|digest| table.note_coming(now, digest)).max()
     }
@@ -61,9 +61,9 @@
     }
 
     /// Waits until a request is refused.
-    pub async fn until_refused(&self, now: impl Fn() -> Moment, digests: &RequestDigests) {
+    pub async fn wait_until_refused(&self, now: impl Fn() -> Moment, digests: &RequestDigests) {
         loop {
-            let refused = self.refused.notified();
+            let refused = self.newly_refused.notified();
             if self.refuses(now(), digests) {
                 return;
             }
@@ -72,40 +72,46 @@
     }
 
     /// A server has ended while this entry had a request there.
-    pub fn note_end(&self, now: Moment, digests: &RequestDigests, life: LifeKey, run: EndedRun) {
+    pub fn record_server_end(
+        &self,
+        now: Moment,
+        digests: &RequestDigests,
+        life: LifeKey,
+        run: EndedRun,
+    ) {
         for digest in digests.iter() {
             let change = self.table().note_end(now, digest, life, run);
-            self.take(digest, change, "ends");
+            self.apply_change(digest, change, "ends");
         }
     }
 
     /// A request has run to its end.
-    pub fn note_whole(&self, now: Moment, digests: &RequestDigests) {
+    pub fn record_whole_answer(&self, now: Moment, digests: &RequestDigests) {
         for digest in digests.iter() {
             let change = self.table().note_whole(now, digest);
-            self.take(digest, change, "whole_answer");
+            self.apply_change(digest, change, "whole_answer");
         }
     }
 
     /// Takes in what another entry tells.
-    pub fn hear(&self, now: Moment, notices: &[SuspectNotice]) {
+    pub fn merge_notices(&self, now: Moment, notices: &[SuspectNotice]) {
         for notice in notices {
             let change = self.table().hear(now, *notice);
-            self.take(notice.digest(), change, "peer");
+            self.apply_change(notice.digest(), change, "peer");
         }
     }
 
     /// Takes in what the store has kept.
-    pub fn note_kept(&self, now: Moment, digest: RequestDigest, left: Duration) {
+    pub fn restore(&self, now: Moment, digest: RequestDigest, left: Duration) {
         let change = self.table().note_kept(now, digest, left);
-        self.take(digest, change, "store");
+        self.apply_change(digest, change, "store");
     }
 
     /// Has a request served again, as an operator wants it; tells whether it was suspected.
     pub fn lift(&self, now: Moment, digest: RequestDigest) -> bool {
         let change = self.table().lift(now, digest);
         let lifted = change != SuspectChange::None;
-        self.take(digest, change, "operator");
+        self.apply_change(digest, change, "operator");
         lifted
     }
 
@@ -125,18 +131,18 @@
     }
 
     /// What is to be written to the store next.
-    pub async fn next_due(&self) -> Vec<KeepingDue> {
+    pub async fn next_writes(&self) -> Vec<QuarantineWrite> {
         loop {
-            let news = self.due_news.notified();
-            let due = std::mem::take(&mut *self.due());
-            if !due.is_empty() {
-                return due;
+            let news = self.writes_pending.notified();
+            let writes = std::mem::take(&mut *self.pending_writes());
+            if !writes.is_empty() {
+                return writes;
             }
             news.await;
         }
     }
 
-    fn take(&self, digest: RequestDigest, change: SuspectChange, source: &str) {
+    fn apply_change(&self, digest: RequestDigest, change: SuspectChange, source: &str) {
         let content = digest.to_string();
         match change {
             SuspectChange::None => {}
@@ -144,10 +150,10 @@
                 let lives: Vec<String> = lives.iter().map(LifeKey::to_string).collect();
                 let fields = json!({ "content": content, "source": source, "lives": lives });
                 decisions::warn("quarantine", "refused_from_now", fields);
-                self.refused.notify_waiters();
+                self.newly_refused.notify_waiters();
                 // All who have heard of the ends have judged alike; those who saw one keep it.
                 if seen {
-                    self.add_due(KeepingDue::Keep(digest, QUARANTINE_TIME));
+                    self.queue_write(QuarantineWrite::Keep(digest, QUARANTINE_TIME));
                 }
             }
             SuspectChange::Cleared { was_refused } => {
@@ -157,14 +163,14 @@
                 let fields = json!({ "content": content, "source": source });
                 decisions::note("quarantine", "cleared", fields);
                 if source != "peer" {
-                    self.add_due(KeepingDue::Lift(digest));
+                    self.queue_write(QuarantineWrite::Lift(digest));
                 }
             }
         }
     }
 
-    fn add_due(&self, due: KeepingDue) {
-        self.due().push(due);
-        self.due_news.notify_one();
+    fn queue_write(&self, write: QuarantineWrite) {
+        self.pending_writes().push(write);
+        self.writes_pending.notify_one();
     }
 }
--- a/crates/daemon/src/direct/quarantine_keeper.rs
+++ b/crates/daemon/src/direct/quarantine_keeper.rs
@@ -11,75 +11,75 @@
 
 use super::{
     facts::ReadGate,
-    quarantine::KeepingDue,
+    quarantine::QuarantineWrite,
     state::{EntryState, TopicGate},
 };
 use crate::{decisions, timer::unix_time};
 
 /// Pause between two looks whether this entry is one that reads the store: the others have the
 /// quarantine from those within a second.
-const GATE_PAUSE: Duration = Duration::from_millis(200);
+const GATE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Tries of a write. Each entry that saw one of the ends writes, and all know the quarantine as long as
 /// one of them lives: it is given up after a quarter of a minute.
-const MOST_TRIES: u32 = 30;
+const MAX_WRITE_ATTEMPTS: u32 = 30;
 
 /// Takes what is kept, then writes what is due, for ever.
 pub async fn run(state: Arc<EntryState>, store: Arc<dyn QuarantineStore>) {
-    tokio::join!(take_kept(&state, &store), write_due(&state, &store));
+    tokio::join!(restore_kept(&state, &store), write_pending(&state, &store));
 }
 
-async fn take_kept(state: &Arc<EntryState>, store: &Arc<dyn QuarantineStore>) {
+async fn restore_kept(state: &Arc<EntryState>, store: &Arc<dyn QuarantineStore>) {
     let gate = TopicGate(state.clone());
     while !gate.is_open() {
-        tokio::time::sleep(GATE_PAUSE).await;
+        tokio::time::sleep(GATE_POLL_INTERVAL).await;
     }
     let kept = loop {
         match store.list_kept().await {
             Ok(kept) => break kept,
-            Err(failure) => note_failure("list", None, &failure),
+            Err(failure) => log_failure("list", None, &failure),
         }
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     };
     decisions::note("quarantine", "read", json!({ "kept": kept.len() }));
     for KeptQuarantine { digest, until } in kept {
         let left = until.0.saturating_sub(unix_millis());
         match left {
-            0 => write(store, KeepingDue::Lift(digest)).await,
-            _ => state.quarantine.note_kept(state.now(), digest, Duration::from_millis(left)),
+            0 => write(store, QuarantineWrite::Lift(digest)).await,
+            _ => state.quarantine.restore(state.now(), digest, Duration::from_millis(left)),
         }
     }
 }
 
-async fn write_due(state: &Arc<EntryState>, store: &Arc<dyn QuarantineStore>) {
+async fn write_pending(state: &Arc<EntryState>, store: &Arc<dyn QuarantineStore>) {
     loop {
-        for due in state.quarantine.next_due().await {
-            write(store, due).await;
+        for pending in state.quarantine.next_writes().await {
+            write(store, pending).await;
         }
     }
 }
 
-async fn write(store: &Arc<dyn QuarantineStore>, due: KeepingDue) {
-    for _ in 0..MOST_TRIES {
-        let (digest, written) = match due {
-            KeepingDue::Keep(digest, left) => {
+async fn write(store: &Arc<dyn QuarantineStore>, pending: QuarantineWrite) {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let (digest, written) = match pending {
+            QuarantineWrite::Keep(digest, left) => {
                 let until = UnixMillis(unix_millis() + left.as_millis() as u64);
                 (digest, store.keep(KeptQuarantine { digest, until }).await)
             }
-            KeepingDue::Lift(digest) => (digest, store.lift(digest).await),
+            QuarantineWrite::Lift(digest) => (digest, store.lift(digest).await),
         };
         match written {
             Ok(()) => return,
-            Err(failure) => note_failure("write", Some(digest), &failure),
+            Err(failure) => log_failure("write", Some(digest), &failure),
         }
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn note_failure(call: &str, digest: Option<RequestDigest>, failure: &StoreFailure) {
+fn log_failure(call: &str, digest: Option<RequestDigest>, failure: &StoreFailure) {
     let content = digest.map(|digest| digest.to_string());
     let fields = json!({ "call": call, "content": content, "failure": failure.to_string() });
     decisions::warn("quarantine", "store_failed", fields);
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -26,16 +26,16 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::{AnswerBody, BodyFailure, strip_connection},
+    answer::{AnswerBody, BodyError, strip_hop_by_hop_headers},
     attempt::{AttemptFailure, InFlight, ServerAnswer},
     exchange::Exchange,
 };
 
 /// Pause after which another server is asked as well, as a multiple of the pause that is wanted.
-const PAUSE_PATIENCE: u32 = 2;
+const PAUSE_TOLERANCE_FACTOR: u32 = 2;
 
 /// Least such pause.
-const LEAST_PAUSE: Duration = Duration::from_millis(800);
+const MIN_PAUSE_TOLERANCE: Duration = Duration::from_millis(800);
 
 /// Why no more of a stream came from one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,11 +57,11 @@
     in_flight: InFlight,
     splitter: EventSplitter,
     /// Time that the server was given.
-    given: LimitedTime,
+    time_limit: LimitedTime,
     /// When its answer began.
-    taken: Moment,
+    started: Moment,
     /// It has brought a whole event.
-    brought: bool,
+    has_events: bool,
 }
 
 impl StreamSource {
@@ -71,15 +71,15 @@
             connection: answer.connection,
             in_flight: answer.in_flight,
             splitter: EventSplitter::default(),
-            given: answer.given,
-            taken: now,
-            brought: false,
+            time_limit: answer.time_limit,
+            started: now,
+            has_events: false,
         }
     }
 
     /// How far the answer had come when the server ended.
     fn ended_run(&self) -> EndedRun {
-        if self.brought { EndedRun::Begun } else { EndedRun::Silent }
+        if self.has_events { EndedRun::Begun } else { EndedRun::Silent }
     }
 
     /// The next bytes, or how the stream has ended.
@@ -106,11 +106,11 @@
     timing: StreamTiming,
     status: StatusCode,
     /// It has been told that nobody can be asked beside a silent server.
-    told_waiting: bool,
+    waiting_logged: bool,
 }
 
 /// What comes next.
-enum Next {
+enum NextData {
     /// Bytes from the server.
     Data(Bytes),
     /// Another server has brought these bytes before the silent one brought any.
@@ -123,7 +123,7 @@
 pub fn stream(exchange: Exchange, mut answer: ServerAnswer) -> Response<AnswerBody> {
     let status = answer.response.status();
     let mut headers = std::mem::take(answer.response.headers_mut());
-    strip_connection(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let mut source = StreamSource::new(answer, exchange.state.now());
     let mut relay = Relay {
@@ -132,40 +132,40 @@
         exchange,
         events: 0,
         timing: StreamTiming::default(),
-        told_waiting: false,
+        waiting_logged: false,
     };
-    relay.exchange.begun = true;
+    relay.exchange.answer_begun = true;
     let frames = async_stream::try_stream! {
         loop {
             let data = match relay.next(&mut source).await {
-                Next::Data(data) => data,
-                Next::Replaced(other, data) => {
-                    relay.let_go(source, StreamEnd::Silent);
+                NextData::Data(data) => data,
+                NextData::Replaced(other, data) => {
+                    relay.abandon(source, StreamEnd::Silent);
                     source = *other;
                     data
                 }
-                Next::End(StreamEnd::Whole) => {
+                NextData::End(StreamEnd::Whole) => {
                     source.in_flight.end(ServerOutcome::Answered);
                     relay.finish(&source);
                     relay.exchange.state.connections.put_back(source.connection);
                     return;
                 }
-                Next::End(end) => {
-                    let described = relay.describe(&source, end);
+                NextData::End(end) => {
+                    let log_fields = relay.log_fields(&source, end);
                     let (server, run) = (source.in_flight.server().clone(), source.ended_run());
-                    relay.let_go(source, end);
+                    relay.abandon(source, end);
                     if end == StreamEnd::Broken {
-                        relay.exchange.note_break(&server, run).await;
+                        relay.exchange.handle_connection_break(&server, run).await;
                     }
                     let continued = relay.continue_elsewhere(end).await;
                     if let Err(cause) = continued {
-                        relay.exchange.cut(cause, described);
+                        relay.exchange.record_cut(cause, log_fields);
                     }
-                    source = continued.map_err(BodyFailure::from)?;
+                    source = continued.map_err(BodyError::from)?;
                     continue;
                 }
             };
-            for event in relay.take(&mut source, &data) {
+            for event in relay.new_events(&mut source, &data) {
                 yield Frame::data(Bytes::from(event.bytes));
             }
         }
@@ -178,19 +178,19 @@
 
 impl Relay {
     /// What comes next.
-    async fn next(&mut self, source: &mut StreamSource) -> Next {
+    async fn next(&mut self, source: &mut StreamSource) -> NextData {
         let deadline = self.exchange.request.deadline;
         let pause = Duration::from_millis(self.exchange.request.route.pause_objective_ms);
-        let pause = (pause * PAUSE_PATIENCE).max(LEAST_PAUSE);
+        let pause = (pause * PAUSE_TOLERANCE_FACTOR).max(MIN_PAUSE_TOLERANCE);
         loop {
             let patience = Instant::now() + pause;
             match tokio::time::timeout_at(patience.min(deadline), source.next()).await {
-                Ok(Ok(data)) => return Next::Data(data),
-                Ok(Err(end)) => return Next::End(end),
-                Err(_) if Instant::now() >= deadline => return Next::End(StreamEnd::Deadline),
+                Ok(Ok(data)) => return NextData::Data(data),
+                Ok(Err(end)) => return NextData::End(end),
+                Err(_) if Instant::now() >= deadline => return NextData::End(StreamEnd::Deadline),
                 Err(_) => {}
             }
-            if let Some(next) = self.ask_beside(source).await {
+            if let Some(next) = self.hedge(source).await {
                 return next;
             }
         }
@@ -200,62 +200,64 @@
     ///
     /// To let go of the silent one first would cost callers what it has yet to say wherever the other
     /// one refuses, is silent as well, or cannot be asked.
-    async fn ask_beside(&mut self, source: &mut StreamSource) -> Option<Next> {
+    async fn hedge(&mut self, source: &mut StreamSource) -> Option<NextData> {
         if !self.exchange.request.repeatable {
             return None;
         }
         let server = match self.exchange.next_server() {
             Ok(server) => server,
             Err(cause) => {
-                self.note_waiting(cause);
+                self.log_waiting(cause);
                 return None;
             }
         };
-        if self.exchange.is_last_sending() {
-            source.in_flight.note_last();
+        if self.exchange.is_final_attempt() {
+            source.in_flight.mark_final_attempt();
         }
         let (last, status) = (self.last_event, self.status);
-        let (begun, broke) = {
+        let (outcome, broken) = {
             let exchange = &mut self.exchange;
-            let mut asking = pin!(begin_elsewhere(exchange, server, last, status));
+            let mut hedging = pin!(start_on(exchange, server, last, status));
             tokio::select! {
                 biased;
                 data = source.next() => match data {
-                    Ok(data) => return Some(Next::Data(data)),
-                    Err(StreamEnd::Whole) => return Some(Next::End(StreamEnd::Whole)),
-                    Err(end) => match asking.await {
-                        Ok(begun) => (Ok(begun), true),
-                        Err(_) => return Some(Next::End(end)),
+                    Ok(data) => return Some(NextData::Data(data)),
+                    Err(StreamEnd::Whole) => return Some(NextData::End(StreamEnd::Whole)),
+                    Err(end) => match hedging.await {
+                        Ok(started) => (Ok(started), true),
+                        Err(_) => return Some(NextData::End(end)),
                     },
                 },
-                begun = &mut asking => (begun, false),
+                outcome = &mut hedging => (outcome, false),
             }
         };
-        if broke {
-            self.exchange.note_break(source.in_flight.server(), source.ended_run()).await;
+        if broken {
+            self.exchange
+                .handle_connection_break(source.in_flight.server(), source.ended_run())
+                .await;
         }
-        let (other, data) = begun.ok()?;
-        Some(Next::Replaced(Box::new(other), data))
+        let (other, data) = outcome.ok()?;
+        Some(NextData::Replaced(Box::new(other), data))
     }
 
-    fn note_waiting(&mut self, cause: &'static str) {
-        if !self.told_waiting {
-            self.told_waiting = true;
+    fn log_waiting(&mut self, cause: &'static str) {
+        if !self.waiting_logged {
+            self.waiting_logged = true;
             let fields = json!({ "cause": cause, "events": self.events });
             self.exchange.log("stream_waits", fields);
         }
     }
 
     /// Ends the connection to a server from which nothing more is wanted.
-    fn let_go(&self, source: StreamSource, end: StreamEnd) {
+    fn abandon(&self, source: StreamSource, end: StreamEnd) {
         source.in_flight.end(ServerOutcome::Lost);
-        self.exchange.log("stream_stopped", self.describe(&source, end));
+        self.exchange.log("stream_stopped", self.log_fields(&source, end));
     }
 
     /// The whole events that have come and were not passed on yet.
-    fn take(&mut self, source: &mut StreamSource, data: &[u8]) -> Vec<StreamEvent> {
+    fn new_events(&mut self, source: &mut StreamSource, data: &[u8]) -> Vec<StreamEvent> {
         let mut events = source.splitter.push(data);
-        source.brought |= !events.is_empty();
+        source.has_events |= !events.is_empty();
         let last = self.last_event;
         events.retain(|event| match (event.id, last) {
             (Some(id), Some(last)) => id > last,
@@ -272,15 +274,15 @@
     }
 
     /// How far the stream has come, for logs.
-    fn describe(&self, source: &StreamSource, end: StreamEnd) -> serde_json::Value {
+    fn log_fields(&self, source: &StreamSource, end: StreamEnd) -> serde_json::Value {
         let now = self.exchange.state.now();
         let millis = |time: Duration| time.as_millis() as u64;
         json!({
             "end": format!("{end:?}"), "events": self.events,
             "server": source.in_flight.server().id,
             "since_event_ms": self.timing.last().map(|last| millis(now.since(last))),
-            "given_ms": millis(source.given.time), "given_by": source.given.limit,
-            "served_ms": millis(now.since(source.taken)),
+            "given_ms": millis(source.time_limit.time), "given_by": source.time_limit.limit,
+            "served_ms": millis(now.since(source.started)),
         })
     }
 
@@ -292,7 +294,9 @@
         loop {
             let server = self.exchange.next_server()?;
             let sent = self.exchange.send(server, self.last_event).await;
-            if let Ok(source) = accept(&mut self.exchange, sent, self.last_event, self.status) {
+            if let Ok(source) =
+                accept_continuation(&mut self.exchange, sent, self.last_event, self.status)
+            {
                 return Ok(source);
             }
         }
@@ -314,7 +318,7 @@
 }
 
 /// Has `server` go on after event `last`, until its first bytes are here.
-async fn begin_elsewhere(
+async fn start_on(
     exchange: &mut Exchange,
     mut server: ChosenServer,
     last: Option<u64>,
@@ -322,7 +326,7 @@
 ) -> Result<(StreamSource, Bytes), StreamEnd> {
     let mut source = loop {
         let sent = exchange.send(server, last).await;
-        match accept(exchange, sent, last, status) {
+        match accept_continuation(exchange, sent, last, status) {
             Ok(source) => break source,
             Err(end) => server = exchange.reserved.take().ok_or(end)?,
         }
@@ -333,7 +337,9 @@
         ended => {
             source.in_flight.end(ServerOutcome::Lost);
             if matches!(ended, Ok(Err(StreamEnd::Broken))) {
-                exchange.note_break(source.in_flight.server(), source.ended_run()).await;
+                exchange
+                    .handle_connection_break(source.in_flight.server(), source.ended_run())
+                    .await;
             }
             Err(StreamEnd::Broken)
         }
@@ -341,7 +347,7 @@
 }
 
 /// The source of a continued stream, if the server has begun to go on.
-fn accept(
+fn accept_continuation(
     exchange: &mut Exchange,
     sent: Result<ServerAnswer, AttemptFailure>,
     last: Option<u64>,
@@ -361,7 +367,7 @@
         }
         Err(failure) => {
             // Streams that come here may be repeated, so that every failure allows another sending.
-            let _ = exchange.note_failure(&failure);
+            let _ = exchange.record_failure(&failure);
             Err(StreamEnd::Broken)
         }
     }
--- a/crates/daemon/src/direct/server_sync.rs
+++ b/crates/daemon/src/direct/server_sync.rs
@@ -55,10 +55,10 @@
 pub async fn run(state: Arc<EntryState>) {
     let connections = Connections::default();
     loop {
-        state.servers_offered.notified().await;
+        state.newer_servers_offered.notified().await;
         while let Some(holder) = holder(&state) {
             match fetch(&connections, holder, state.servers_age().covered()).await {
-                Ok(changes) => state.take_server_changes(changes),
+                Ok(changes) => state.merge_server_changes(changes),
                 Err(error) => {
                     decisions::warn("servers", "not_fetched", json!({ "error": error }));
                 }
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -39,10 +39,10 @@
 use tokio::{sync::Notify, time::Instant};
 
 use super::{
-    body_memory::{BodyMemory, MEMORY_PARTS},
+    body_memory::{BODY_MEMORY_DIVISOR, BodyMemory},
     facts::{FactNews, set_facts},
     plan_copy::PlanCopy,
-    quarantine::QuarantineDesk,
+    quarantine::Quarantine,
     unknown_headers::UnknownHeaders,
 };
 use crate::{decisions, metrics::NodeMetrics, timer::NodeClock};
@@ -75,16 +75,16 @@
     pub stopping: AtomicBool,
     /// The list of servers has been read.
     pub servers_known: AtomicBool,
-    begun: Instant,
+    started: Instant,
     /// Where this entry begins among others with what each does in its turn, from 0 to 1.
     phase: f64,
     clock: NodeClock,
     /// Suspended time that the parts of this entry have been told of.
-    told_sleep: Mutex<Duration>,
+    handled_suspension: Mutex<Duration>,
     /// The plan.
     pub plan: PlanCopy,
     /// Requests under which servers end.
-    pub quarantine: QuarantineDesk,
+    pub quarantine: Quarantine,
     servers: Mutex<ServerTable>,
     weights: Mutex<WeightDeadlines>,
     evacuated: Mutex<EvacuatedDomains>,
@@ -95,17 +95,17 @@
     sizes: Mutex<SizeRanks>,
     peers: Mutex<PeerTable>,
     /// What this entry has in progress at a busy server has changed.
-    pub load_news: Notify,
+    pub loads_changed: Notify,
     /// Has the plan read anew.
-    pub plan_nudge: Arc<Notify>,
+    pub plan_refresh: Arc<Notify>,
     /// Has the list of servers read anew.
-    pub servers_nudge: Arc<Notify>,
+    pub servers_refresh: Arc<Notify>,
     /// Has the wanted weights read anew.
-    pub weights_nudge: Arc<Notify>,
+    pub weights_refresh: Arc<Notify>,
     /// Has the evacuations read anew.
-    pub evacuations_nudge: Arc<Notify>,
+    pub evacuations_refresh: Arc<Notify>,
     /// Another entry has taken in a change of servers that is missing here.
-    pub servers_offered: Notify,
+    pub newer_servers_offered: Notify,
     /// The list of servers, for other entries.
     server_copy: Mutex<ServerCopy>,
     /// How current the list of servers is.
@@ -131,7 +131,7 @@
 }
 
 /// Least time of suspension after which everything is read anew: less is borne by every wait.
-const LEAST_SLEEP: Duration = Duration::from_millis(300);
+const MIN_SUSPENSION: Duration = Duration::from_millis(300);
 
 impl EntryState {
     /// The state of an entry that has just started.
@@ -151,7 +151,8 @@
             false => EntryStart::Again,
         };
         let zones = settings.direct.zones.clone();
-        let body_memory = ByteSize::from_bytes(settings.direct.memory.bytes() / MEMORY_PARTS);
+        let body_memory =
+            ByteSize::from_bytes(settings.direct.memory.bytes() / BODY_MEMORY_DIVISOR);
         let servers = ServerTable::new(settings.node.domain.clone(), zones);
         let mut peers =
             PeerTable::new(settings.node.control, DomainKey::from(&settings.node.domain));
@@ -168,12 +169,12 @@
             in_progress: AtomicUsize::new(0),
             stopping: AtomicBool::new(false),
             servers_known: AtomicBool::new(false),
-            begun: Instant::now(),
+            started: Instant::now(),
             phase: rand::rng().random(),
             clock,
-            told_sleep: Mutex::default(),
+            handled_suspension: Mutex::default(),
             plan: PlanCopy::default(),
-            quarantine: QuarantineDesk::default(),
+            quarantine: Quarantine::default(),
             servers: Mutex::new(servers),
             weights: Mutex::default(),
             evacuated: Mutex::default(),
@@ -181,12 +182,12 @@
             shedder: Mutex::default(),
             sizes: Mutex::default(),
             peers: Mutex::new(peers),
-            load_news: Notify::new(),
-            plan_nudge: Arc::default(),
-            servers_nudge: Arc::default(),
-            weights_nudge: Arc::default(),
-            evacuations_nudge: Arc::default(),
-            servers_offered: Notify::new(),
+            loads_changed: Notify::new(),
+            plan_refresh: Arc::default(),
+            servers_refresh: Arc::default(),
+            weights_refresh: Arc::default(),
+            evacuations_refresh: Arc::default(),
+            newer_servers_offered: Notify::new(),
             server_copy: Mutex::default(),
             servers_age: Mutex::default(),
             known_entries: Mutex::default(),
@@ -197,7 +198,7 @@
     }
 
     /// Takes over other figures of the retry budget.
-    pub fn take_retry_settings(&self, retry: RawRetry) {
+    pub fn set_retry_settings(&self, retry: RawRetry) {
         self.retries().set_budget(retry_budget(retry));
     }
 
@@ -207,23 +208,23 @@
     }
 
     /// Time for which the machine was suspended since the start.
-    pub fn slept(&self) -> Duration {
+    pub fn suspended_time(&self) -> Duration {
         self.clock.slept()
     }
 
     /// Has the parts do what they do after a freeze where the machine was suspended since the last
     /// call: watches that were open may have been answered while nobody heard it.
-    pub fn note_sleep(&self) {
-        let slept = self.slept();
-        let mut told = lock(&self.told_sleep);
-        let since = slept.saturating_sub(*told);
-        if since < LEAST_SLEEP {
+    pub fn handle_suspension(&self) {
+        let slept = self.suspended_time();
+        let mut handled = lock(&self.handled_suspension);
+        let since = slept.saturating_sub(*handled);
+        if since < MIN_SUSPENSION {
             return;
         }
-        *told = slept;
-        drop(told);
+        *handled = slept;
+        drop(handled);
         decisions::warn("life", "suspended", json!({ "slept_ms": since.as_millis() as u64 }));
-        self.read_store_anew();
+        self.reread_store();
     }
 
     /// The routes in force; none before the first plan.
@@ -287,7 +288,7 @@
     }
 
     /// Takes over a plan if it is newer than the one in force.
-    pub fn take_plan(&self, plan: TrafficPlan, source: &str) {
+    pub fn apply_plan(&self, plan: TrafficPlan, source: &str) {
         let version = plan.version;
         let bounded = plan.services.iter().filter(|(_, service)| service.cold_per_second > 0.0);
         let bounded =
@@ -301,10 +302,10 @@
 
     /// A peer has the plan of `version`: where that is newer than the one in force here, it is had
     /// from a peer; where it stays so, this entry's watch has missed something.
-    pub fn hear_peer_plan(&self, version: PlanVersion) {
+    pub fn record_peer_plan_version(&self, version: PlanVersion) {
         let is_reader = self.peers().is_plan_reader();
         if self.plan.note_told(self.now(), version, is_reader) && !self.awaits_turn() {
-            self.plan_nudge.notify_one();
+            self.plan_refresh.notify_one();
         }
     }
 
@@ -323,17 +324,17 @@
     }
 
     /// Takes in news about the plan.
-    pub fn hear_plan(&self, news: FactNews) {
+    pub fn apply_plan_update(&self, news: FactNews) {
         for fact in set_facts(news) {
             if let Fact::Plan(plan) = fact {
-                self.take_plan(*plan, "store");
+                self.apply_plan(*plan, "store");
             }
         }
         self.plan.confirm(self.now());
     }
 
     /// Takes in news about wanted weights.
-    pub fn hear_weights(&self, news: FactNews) {
+    pub fn apply_weights_update(&self, news: FactNews) {
         let now = self.now();
         for fact in set_facts(news) {
             let Fact::Weights(wanted) = fact else { continue };
@@ -346,7 +347,7 @@
 
     /// Takes in which versions a peer knows to be wanted: its watch may have heard what this
     /// entry's has missed.
-    pub fn hear_wanted(&self, wanted: &[WantedNotice]) {
+    pub fn merge_wanted_versions(&self, wanted: &[WantedNotice]) {
         let now = self.now();
         for one in wanted {
             if self.weights().learn_late(now, &one.model, one.version, one.age) {
@@ -366,12 +367,12 @@
 
     /// Has everything read anew from the store: this entry was cut off or stood still, and what
     /// its watches wait for may have been lost on the way.
-    pub fn read_store_anew(&self) {
+    pub fn reread_store(&self) {
         decisions::note("store", "read_anew", json!({}));
-        self.plan_nudge.notify_one();
-        self.servers_nudge.notify_one();
-        self.weights_nudge.notify_one();
-        self.evacuations_nudge.notify_one();
+        self.plan_refresh.notify_one();
+        self.servers_refresh.notify_one();
+        self.weights_refresh.notify_one();
+        self.evacuations_refresh.notify_one();
     }
 
     /// How current the list of servers is.
@@ -380,7 +381,7 @@
     }
 
     /// Writes the ages of facts into the metrics.
-    pub fn measure_ages(&self) {
+    pub fn update_age_metrics(&self) {
         let now = self.now();
         for (topic, age) in [("plan", self.plan.age()), ("servers", self.servers_age())] {
             if let Some(age) = age.age(now) {
@@ -390,7 +391,7 @@
     }
 
     /// The least version of a service's weights that a request may start on now.
-    pub fn least_version(&self, model: Option<&str>) -> Option<WeightVersion> {
+    pub fn min_version(&self, model: Option<&str>) -> Option<WeightVersion> {
         let model: ModelName = model?.parse().ok()?;
         let time = self.settings.direct.weights_time;
         self.weights().least(self.now(), &model, time)
@@ -479,9 +480,9 @@
     }
 
     /// Has the other entries of the failure domain told what has changed at busy servers.
-    pub fn tell_loads(&self) {
+    pub fn notify_load_changes(&self) {
         if self.servers().has_changes() {
-            self.load_news.notify_one();
+            self.loads_changed.notify_one();
         }
     }
 
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -15,7 +15,7 @@
     }
 
     /// Takes in news about evacuations.
-    pub fn hear_evacuations(&self, news: FactNews) {
+    pub fn apply_evacuations_update(&self, news: FactNews) {
         let mark = news.covered();
         let (base, facts) = match news {
             FactNews::All(list) => {
@@ -41,11 +41,11 @@
                 Some((DomainKey::from(&domain), false))
             }
         });
-        self.take_evacuated(&base.with_changes(mark, changes));
+        self.merge_evacuated(&base.with_changes(mark, changes));
     }
 
     /// Takes over the failure domains that are being emptied where that is newer than what is known.
-    pub fn take_evacuated(&self, told: &EvacuatedDomains) {
+    pub fn merge_evacuated(&self, told: &EvacuatedDomains) {
         if !lock(&self.evacuated).take(told) {
             return;
         }
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -17,10 +17,10 @@
 /// Time for which this entry may know fewer changes of servers than a peer before it reads them
 /// anew: longer than its watch rests after each change and a slow store takes to answer. That a server
 /// leaves is told at once besides.
-const SERVERS_PATIENCE: Duration = Duration::from_millis(1400);
+const MAX_SERVERS_LAG: Duration = Duration::from_millis(1400);
 
 /// The same for the second reader of a failure domain, whose watch rests for 2 s.
-const SECOND_PATIENCE: Duration = Duration::from_millis(3200);
+const SECOND_READER_MAX_LAG: Duration = Duration::from_millis(3200);
 
 /// News of servers as changes; what cannot be read is written down and left out.
 fn server_changes(news: FactNews, newest: ChangeMark) -> ServerChanges {
@@ -56,14 +56,14 @@
 
 impl EntryState {
     /// Takes in news about servers from the store.
-    pub fn hear_servers(&self, news: FactNews) {
+    pub fn apply_servers_update(&self, news: FactNews) {
         let (covered, newest) = (news.covered(), news.newest());
         self.apply_servers(server_changes(news, newest));
         lock(&self.servers_age).confirm_from_store(self.now(), covered, newest);
     }
 
     /// Takes in what another entry has told of servers.
-    pub fn take_server_changes(&self, changes: ServerChanges) {
+    pub fn merge_server_changes(&self, changes: ServerChanges) {
         if changes.covered <= self.servers_age().covered() {
             return;
         }
@@ -108,25 +108,25 @@
 
     /// A peer has taken in changes of servers up to `newest`; where this entry goes on knowing
     /// less, its watch has missed something.
-    pub fn hear_peer_servers(&self, newest: ChangeMark) {
+    pub fn record_peer_servers_mark(&self, newest: ChangeMark) {
         let now = self.now();
         let rank = self.peers().reader_rank();
         let mut age = lock(&self.servers_age);
         age.note_told(now, newest);
         if age.behind(now).is_some() {
-            self.servers_offered.notify_one();
+            self.newer_servers_offered.notify_one();
         }
-        let is_late = age.stalled(now).is_some_and(|stalled| stalled >= SERVERS_PATIENCE);
-        let patience = if rank == Some(1) { SECOND_PATIENCE } else { SERVERS_PATIENCE };
-        let is_due = (is_late || rank.is_some()) && age.take_due(now, patience);
+        let is_late = age.stalled(now).is_some_and(|stalled| stalled >= MAX_SERVERS_LAG);
+        let max_lag = if rank == Some(1) { SECOND_READER_MAX_LAG } else { MAX_SERVERS_LAG };
+        let is_due = (is_late || rank.is_some()) && age.take_due(now, max_lag);
         drop(age);
         if is_due && !self.awaits_turn() {
-            self.servers_nudge.notify_one();
+            self.servers_refresh.notify_one();
         }
     }
 
     /// Servers that peers have heard to be leaving: they get nothing more here either.
-    pub fn hear_leaving(&self, leaving: &[LeavingNotice]) {
+    pub fn merge_leaving(&self, leaving: &[LeavingNotice]) {
         let now = self.now();
         for notice in leaving {
             if self.servers().note_told(now, *notice) {
--- a/crates/daemon/src/direct/unknown_headers.rs
+++ b/crates/daemon/src/direct/unknown_headers.rs
@@ -10,7 +10,7 @@
 use crate::decisions;
 
 /// Most names with a label of their own.
-const MOST_NAMES: usize = 64;
+const MAX_NAMES: usize = 64;
 
 /// Label of further names.
 const OTHER_NAMES: &str = "other";
@@ -27,7 +27,7 @@
         if self.names.contains(name) {
             return Some(false);
         }
-        (self.names.len() < MOST_NAMES).then(|| self.names.insert(name.clone()))
+        (self.names.len() < MAX_NAMES).then(|| self.names.insert(name.clone()))
     }
 }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -151,11 +151,12 @@
     let connections = Arc::new(Connections::default());
     let store = Arc::new(PlatformStore::new(settings.node.platform.address(), connections));
     let headers = Arc::new(PlatformHeaders);
-    let entry = DirectEntry::start_keeping(settings, store.clone(), headers, store).await?;
+    let entry =
+        DirectEntry::start_with_quarantines(settings, store.clone(), headers, store).await?;
     let state = entry.state.clone();
     wait_for_stop_or_reload(args, |settings| {
         if let DaemonSettings::DirectEntry(settings) = settings {
-            state.take_retry_settings(settings.direct.retry);
+            state.set_retry_settings(settings.direct.retry);
         }
     })
     .await?;
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -318,7 +318,7 @@
     };
     setting.store.replace_silently(FactTopic::Plan, newer);
     while setting.entry.state.plan_version() != PlanVersion(7) {
-        setting.entry.state.hear_peer_plan(PlanVersion(7));
+        setting.entry.state.record_peer_plan_version(PlanVersion(7));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -338,14 +338,14 @@
     // Nobody is behind: the denial stands.
     let denied = setting.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
-    state.hear_peer_plan(PlanVersion(6));
+    state.record_peer_plan_version(PlanVersion(6));
     // The newer plan does not come in time: the caller is sent to another entry.
     let refused = setting.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(refused.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(refused.headers.contains_key("retry-after"), eq(true));
     expect_that!(setting.ask("/safe/x", "k").await.expect("an answer").status, eq(StatusCode::OK));
     // Once it is here it decides.
-    state.take_plan(plan_with_key(6, "new"), "peer");
+    state.apply_plan(plan_with_key(6, "new"), "peer");
     let served = setting.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(served.status, eq(StatusCode::OK));
     let denied = setting.ask("/safe/x", "newer").await.expect("an answer");
@@ -388,7 +388,7 @@
     };
     setting.store.replace_silently(FactTopic::Servers, changed);
     for _ in 0..15 {
-        setting.entry.state.hear_peer_servers(ChangeMark(9));
+        setting.entry.state.record_peer_servers_mark(ChangeMark(9));
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let leaving = setting.entry.state.servers().records().any(|record| record.draining);
@@ -413,7 +413,7 @@
     };
     let knows = || state.servers().records().any(|record| &*record.id.0 == "i1");
     expect_that!(knows(), eq(true));
-    state.hear_servers(changes(unreadable(5)));
+    state.apply_servers_update(changes(unreadable(5)));
     expect_that!(knows(), eq(false));
     let answer = setting.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
@@ -423,7 +423,7 @@
     expect_that!(told.gone.iter().any(|gone| &*gone.id.0 == "i1"), eq(true));
     let record = Fact::Server(record("i1", setting.first.address, "z1"));
     let good = NamedFact { fact: Ok(record), ..unreadable(7) };
-    state.hear_servers(changes(good));
+    state.apply_servers_update(changes(good));
     expect_that!(knows(), eq(true));
     let _ = setting.ask("/safe/x", "k").await;
     expect_that!(setting.first.seen(), not(is_empty()));
@@ -514,10 +514,10 @@
     let setting = Setting::new(whole, whole).await;
     let other = DirectEntry::start(settings(), Arc::new(SilentStore), Arc::new(TestHeaders)).await;
     let other = other.expect("it starts");
-    other.state.take_plan(plan(5), "peer");
+    other.state.apply_plan(plan(5), "peer");
     let changes = setting.entry.state.server_changes(ChangeMark(0)).expect("it has a list");
     expect_that!(changes.whole, eq(true));
-    other.state.take_server_changes(changes.clone());
+    other.state.merge_server_changes(changes.clone());
     expect_that!(other.state.is_ready(), eq(true));
     let answer = ask(other.address, "/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
--- a/crates/daemon/tests/harmful_requests.rs
+++ b/crates/daemon/tests/harmful_requests.rs
@@ -62,7 +62,8 @@
             servers.push(server);
         }
         let headers = Arc::new(TestHeaders);
-        let entry = DirectEntry::start_keeping(settings(), store.clone(), headers, kept).await;
+        let entry =
+            DirectEntry::start_with_quarantines(settings(), store.clone(), headers, kept).await;
         let entry = entry.expect("it starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -183,7 +184,7 @@
     first.have_it_refused().await;
     expect_that!(first.ended(), eq(3));
     let told = first.entry.state.quarantine.notices(first.entry.state.now());
-    second.entry.state.quarantine.hear(second.entry.state.now(), &told);
+    second.entry.state.quarantine.merge_notices(second.entry.state.now(), &told);
     let answer = second.ask("/stream/harmful").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(second.ended(), eq(0));
@@ -221,7 +222,7 @@
         }
         let state = &setting.entry.state;
         let left = Duration::from_secs(60);
-        state.quarantine.note_kept(state.now(), digest_of("/stream/sound"), left);
+        state.quarantine.restore(state.now(), digest_of("/stream/sound"), left);
     };
     let (answer, ()) = tokio::join!(setting.ask("/stream/sound"), refuse);
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -149,7 +149,7 @@
         ..PeerNotice::empty(from, PeerKind::Entry, DomainKey::from(&domain))
     };
     state.peers().hear(state.now(), notice);
-    state.hear_peer_plan(PlanVersion(version));
+    state.record_peer_plan_version(PlanVersion(version));
 }
 
 /// An entry reads the store and its watch says nothing, while another failure domain tells ten
@@ -159,7 +159,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_stays_behind_goes_on_asking() {
     let state = entry();
-    state.take_plan(plan(5), "store");
+    state.apply_plan(plan(5), "store");
     for tick in 0..40 {
         tell(&state, 6);
         let due = tick >= 5;
@@ -174,7 +174,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_newer_plan_is_waited_for_until_it_is_here_or_the_time_is_over() {
     let state = entry();
-    state.take_plan(plan(5), "store");
+    state.apply_plan(plan(5), "store");
     let begun = Instant::now();
     let wait = Duration::from_millis(300);
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(false));
@@ -182,7 +182,7 @@
     let taker = state.clone();
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        taker.take_plan(plan(6), "peer");
+        taker.apply_plan(plan(6), "peer");
     });
     let begun = Instant::now();
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(true));
--- a/crates/daemon/tests/support/entries.rs
+++ b/crates/daemon/tests/support/entries.rs
@@ -48,7 +48,8 @@
         own.node.control = place(number);
         own.direct.seeds = numbers.filter(|one| *one != number).map(place).collect();
         let runtime = Runtime::new().expect("a runtime");
-        let entry = runtime.block_on(DirectEntry::start_keeping(own, store, headers, kept));
+        let entry =
+            runtime.block_on(DirectEntry::start_with_quarantines(own, store, headers, kept));
         Self { runtime, entry: entry.expect("it starts") }
     }
 
