--- a/crates/daemon/src/direct/answer.rs
+++ b/crates/daemon/src/direct/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 
-/// Why a body broke off.
+/// Why a response body ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of an answer.
+/// Body of a response.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Headers that belong to one connection.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -23,12 +23,12 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// A body that is all here.
+/// A body that is completely in memory.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Takes out of a head what belongs to the connection that it came on.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -44,21 +44,21 @@
     headers.remove("proxy-connection");
 }
 
-/// Why a request got an answer of our own.
+/// Response that the entry generates itself because a request was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Status of the answer.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The cause, for logs and metrics.
+    /// Cause, for logs and metrics.
     pub cause: &'static str,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When the caller may come back.
+    /// When the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorResponse {
-    /// The request has certainly not run and may come back.
+    /// The request has certainly not run; the caller may retry it.
     pub fn refused(cause: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -68,17 +68,17 @@
         }
     }
 
-    /// The request is not one that is served.
+    /// The request is invalid or not permitted.
     pub fn denied(status: StatusCode, cause: &'static str) -> Self {
         Self { status, cause, verdict: RunVerdict::NotRun, retry_after: None }
     }
 
-    /// Nobody can tell whether the request has run.
+    /// It is unknown whether the request has run.
     pub fn outcome_unknown(status: StatusCode, cause: &'static str) -> Self {
         Self { status, cause, verdict: RunVerdict::MayHaveRun, retry_after: None }
     }
 
-    /// The answer.
+    /// Converts this to an HTTP response.
     pub fn response(&self) -> Response<AnswerBody> {
         let mut response = Response::new(full_body(Bytes::from(format!("{}\n", self.cause))));
         *response.status_mut() = self.status;
--- a/crates/daemon/src/direct/attempt.rs
+++ b/crates/daemon/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one server.
+//! A single attempt to run a request on one server.
 
 use std::{
     sync::{
@@ -23,33 +23,34 @@
 
 use super::{answer::strip_hop_by_hop_headers, handler::AdmittedRequest, state::EntryState};
 
-/// Time for a connection to come up: a server that answers does so within a few round trips.
+/// Timeout for opening a connection: a reachable server accepts within a few round trips.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Cause of a failure whose server said nothing until the time was over.
+/// Failure cause: the server sent no response head before the deadline.
 pub const NO_ANSWER: &str = "no_answer_in_time";
 
-/// Cause of a failure whose server closed the connection before its answer began.
+/// Failure cause: the server closed the connection before its response began.
 const CONNECTION_CLOSED: &str = "broken_off";
 
-/// Cause of a failure whose server closed the connection within its answer.
+/// Failure cause: the server closed the connection in the middle of its response.
 pub const ANSWER_CUT: &str = "answer_cut";
 
-/// Counts a request at a server for as long as it is there.
+/// Keeps a request in the in-flight count of a server until the request ends or this is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     state: Arc<EntryState>,
     server: ChosenServer,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     tokens: u64,
     prompt_read: AtomicBool,
-    /// It may not be sent to another server any more.
+    /// The request can't be retried on another server any more.
     final_attempt: AtomicBool,
     ended: AtomicBool,
 }
 
 impl InFlight {
-    /// Counts a request at `server` with a prompt of `tokens`; none if its rate limit has no token left.
+    /// Counts a request with a prompt of `tokens` as in flight at `server`; `None` if the server's
+    /// rate limit is used up.
     pub fn begin(state: Arc<EntryState>, server: ChosenServer, tokens: u64) -> Option<Self> {
         let mut servers = state.servers();
         if !servers.try_acquire(state.now(), server.life) {
@@ -62,7 +63,7 @@
         Some(Self { state, server, tokens, prompt_read, final_attempt, ended })
     }
 
-    /// Notes that the server has read the prompt.
+    /// Records that the server has processed the prompt.
     pub fn note_read(&self) {
         if !self.prompt_read.swap(true, Ordering::Relaxed) {
             self.state.servers().note_read(&self.server.id, self.tokens);
@@ -70,19 +71,19 @@
         }
     }
 
-    /// Notes that the request has begun and may not be sent to another server any more.
+    /// Records that the request has started and can't be retried on another server any more.
     pub fn mark_final_attempt(&self) {
         if !self.final_attempt.swap(true, Ordering::Relaxed) {
             self.state.servers().begin_last(&self.server.id);
         }
     }
 
-    /// The server.
+    /// Server that the request was sent to.
     pub fn server(&self) -> &ChosenServer {
         &self.server
     }
 
-    /// Notes what came of it.
+    /// Removes the request from the in-flight count and records its outcome.
     pub fn end(&self, outcome: ServerOutcome) {
         self.note_read();
         if !self.ended.swap(true, Ordering::Relaxed) {
@@ -101,52 +102,52 @@
     }
 }
 
-/// What a server answered.
+/// Response of a server.
 #[derive(Debug)]
 pub struct ServerAnswer {
-    /// Its head, with the body to come.
+    /// Response head, with the body still to be read.
     pub response: Response<Incoming>,
-    /// The connection, which is closed when this is dropped.
+    /// Connection of the response, closed on drop.
     pub connection: HeldConnection,
-    /// The count of the request at the server.
+    /// In-flight count of the request.
     pub in_flight: InFlight,
-    /// Time that the server was given, from when it was sent the request.
+    /// Time limit sent to the server, counted from when the request was sent.
     pub time_limit: LimitedTime,
 }
 
-/// Why a sending brought no answer that can be passed on.
+/// Why an attempt produced no response that can be forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// Whether the request may have run there.
+    /// Whether the server may have run the request.
     pub verdict: RunVerdict,
-    /// What it says of the server.
+    /// What the failure implies about the server.
     pub outcome: ServerOutcome,
-    /// The cause, for logs.
+    /// Cause, for logs.
     pub cause: &'static str,
-    /// More about the cause.
+    /// Details of the cause, for logs.
     pub detail: String,
-    /// Whether the request has reached the server.
+    /// Whether the request reached the server.
     pub reached_server: bool,
 }
 
 impl AttemptFailure {
-    /// The server has said nothing.
+    /// The server did not respond before the timeout.
     pub fn no_answer() -> Self {
         Self::lost(NO_ANSWER, String::new())
     }
 
-    /// The sending was given up here, and the server's connection closed, for this cause.
+    /// The attempt was cancelled by this entry, which closed the connection.
     pub fn stopped(cause: &'static str) -> Self {
         Self { outcome: ServerOutcome::Abandoned, ..Self::lost(cause, String::new()) }
     }
 
-    /// Nothing was sent, for this cause.
+    /// The request was not sent.
     fn not_sent(cause: &'static str) -> Self {
         let (verdict, outcome) = (RunVerdict::NotRun, ServerOutcome::Abandoned);
         Self { verdict, outcome, cause, detail: String::new(), reached_server: false }
     }
 
-    /// Whether the server closed the connection while it had the request.
+    /// Whether the server closed the connection while it was processing the request.
     pub fn is_connection_break(&self) -> bool {
         [CONNECTION_CLOSED, ANSWER_CUT].contains(&self.cause)
     }
@@ -157,7 +158,7 @@
     }
 }
 
-/// The head that a server is sent.
+/// Headers of the request to the server.
 fn outgoing_headers(
     state: &EntryState,
     request: &AdmittedRequest,
@@ -175,8 +176,7 @@
     headers
 }
 
-/// Sends a request to `server` and waits for the head of the answer until the
-/// request's deadline.
+/// Sends a request to `server` and waits for the response head until the request's deadline.
 pub async fn send(
     state: &Arc<EntryState>,
     request: &AdmittedRequest,
@@ -210,7 +210,7 @@
     loop {
         let begun = Instant::now();
         let (mut connection, fresh) = connect(state, server, choice, request.deadline).await?;
-        // Its state may have changed while the connection came up.
+        // The server's state may have changed while the connection was being opened.
         let checked = state.servers().check_eligibility(state.now(), server);
         if let Err(ineligible) = checked {
             state.connections.put_back(connection);
@@ -222,7 +222,8 @@
             server: Some(server.id.clone()),
             tenant: request.tenant.clone(),
             last_event,
-            // A server never goes back to older weights, and one that has gone on would refuse.
+            // A server never returns to older weights, and one that has already switched would
+            // refuse the request.
             version: None,
             priority: None,
         };
@@ -240,7 +241,7 @@
             }
             Ok(Ok(response)) => response,
             Ok(Err(error)) if error.verdict == RunVerdict::NotRun && !fresh => {
-                // Nothing was written: the kept connection had just been closed.
+                // Nothing was written: the pooled connection had just been closed by the server.
                 choice = ConnectionChoice::Fresh;
                 continue;
             }
@@ -261,15 +262,17 @@
     }
 }
 
-/// Part of the time that a whole answer is expected to take which a server with older weights is
-/// given at least, in percent: slower engines and longer queues than foreseen.
+/// Minimum time limit of a server with older weights, in percent of the predicted time for the
+/// whole answer. The margin covers engines that are slower and queues that are longer than
+/// predicted.
 const MIN_ANSWER_TIME_PERCENT: u32 = 150;
 
-/// Time that a server is given for what it is sent now.
+/// Time limit for a request that is sent to `server` now.
 ///
-/// With older weights it must not begin late, and is given no longer than these may be used. But a
-/// server stops at its deadline also in the middle of a stream, and then nobody may be there to go
-/// on: it is always given the time that the whole answer is expected to take.
+/// A server with older weights must not start late, and gets no longer than those weights may still
+/// be used. But a server also stops at its time limit in the middle of a stream, when there may be
+/// no other server to continue it, so the limit is never shorter than the predicted time for the
+/// whole answer.
 pub fn server_time_limit(
     state: &EntryState,
     request: &AdmittedRequest,
@@ -285,7 +288,7 @@
     left.least(Some(LimitedTime::new(time, TimeLimit::Weights)))
 }
 
-/// The least version of weights that may answer what is sent now.
+/// The oldest version of the weights that may serve the request if it is sent now.
 pub fn min_version(state: &EntryState, request: &AdmittedRequest) -> Option<WeightVersion> {
     request.engine.as_ref()?;
     state.min_version(request.facts.model.as_deref())
@@ -308,7 +311,7 @@
     })
 }
 
-/// Tells an answer to this request from refusals and from answers to others.
+/// Separates a response to this request from refusals and from responses to other requests.
 fn check_answer(
     request: &AdmittedRequest,
     facts: AnswerFacts,
@@ -316,7 +319,7 @@
     connection: HeldConnection,
 ) -> Result<(Response<Incoming>, HeldConnection), AttemptFailure> {
     if facts.id.as_ref().is_some_and(|id| *id != request.id) {
-        let detail = format!("the answer is to request {}", facts.id.unwrap_or_default());
+        let detail = format!("the response has request id {}", facts.id.unwrap_or_default());
         return Err(AttemptFailure::lost("answer_of_another", detail));
     }
     if facts.not_run {
@@ -338,7 +341,8 @@
     Ok((response, connection))
 }
 
-/// Whether an answer says that the server failed, so that a repeatable request may go elsewhere.
+/// Whether a status means that the server failed, so that a repeatable request may be retried on
+/// another one.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
--- a/crates/daemon/src/direct/body_memory.rs
+++ b/crates/daemon/src/direct/body_memory.rs
@@ -1,4 +1,4 @@
-//! Bounds the memory that bodies take over all requests of an entry.
+//! Limits the total memory of the bodies that an entry buffers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,28 +14,28 @@
 
 use super::answer::ErrorResponse;
 
-/// Bytes that one permit stands for.
+/// Bytes per semaphore permit.
 const PERMIT_BYTES: usize = 1 << 10;
 
-/// Time to come back where bodies take all the memory that they may.
+/// `Retry-After` when the memory for bodies is used up.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// Part of an entry's memory that bodies of requests may take, as a divisor; those of answers may take as
-/// much. The rest is for connections, the plan and the list of servers.
+/// Divisor of an entry's memory that gives the budget for request bodies; response bodies have a
+/// budget of the same size. The rest is for connections, the plan and the list of servers.
 pub const BODY_MEMORY_DIVISOR: u64 = 5;
 
-/// The memory that bodies may take.
+/// Memory budget for bodies.
 #[derive(Debug, Clone)]
 pub struct BodyMemory {
     permits: Arc<Semaphore>,
-    /// Permits in all.
+    /// Total number of permits.
     total_permits: u32,
 }
 
-/// A body and its part of the memory, which is free again when the last copy of this is dropped.
+/// A body with its share of the memory budget, which is released when the last clone is dropped.
 #[derive(Debug, Clone, Default)]
 pub struct HeldBody {
-    /// The bytes.
+    /// Content of the body.
     pub bytes: Bytes,
     _permit: Option<Arc<OwnedSemaphorePermit>>,
 }
@@ -45,15 +45,15 @@
 }
 
 impl BodyMemory {
-    /// At most `size` for all bodies together.
+    /// Creates a budget of `size` for all bodies together.
     pub fn new(size: ByteSize) -> Self {
         let total_permits = u32::try_from(size.bytes() / PERMIT_BYTES as u64).unwrap_or(u32::MAX);
         let permits = (total_permits as usize).min(Semaphore::MAX_PERMITS);
         Self { permits: Arc::new(Semaphore::new(permits)), total_permits }
     }
 
-    /// Reads the body of a request, `most` bytes at most. A body whose length is announced is refused
-    /// before anything of it is read where there is no room for it.
+    /// Reads a request body of at most `max_bytes`. A body with a declared length that does not fit
+    /// into the budget is refused before any of it is read.
     pub async fn read_request<B>(
         &self,
         parts: &Parts,
@@ -89,7 +89,7 @@
         Ok(HeldBody { bytes: bytes.freeze(), _permit: held.map(Arc::new) })
     }
 
-    /// Waits until there is room for `bytes` more, or for as much of them as there can be.
+    /// Waits for `bytes` of the budget, or for the whole budget if that is smaller.
     pub async fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let wanted = permits(bytes).min(self.total_permits);
         self.permits.clone().acquire_many_owned(wanted).await.ok()
--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -1,4 +1,4 @@
-//! An entry that calls servers directly, from start to stop.
+//! Start and shutdown of an entry that sends requests directly to servers.
 
 use std::{
     net::SocketAddr,
@@ -25,25 +25,25 @@
 };
 use crate::{decisions, error::DaemonError, supervisor::keep_running};
 
-/// Time after a stop is asked for in which callers may still be sent here: the balancer asks each
-/// second and needs two bad answers. What is taken later than three seconds must come to its end
-/// within the grace, and nothing tells whether it can.
+/// Time after a shutdown request during which callers may still be sent here: the load balancer
+/// probes once per second and needs two failed probes. A request that is accepted later than 3 s
+/// after the shutdown request might not complete within the grace period.
 const UNREADY_DELAY: Duration = Duration::from_millis(2700);
 
-/// Time before the end of the grace at which a stop ends in any case.
+/// Shutdown ends at the latest this long before the end of the grace period.
 const GRACE_RESERVE: Duration = Duration::from_millis(400);
 
-/// How often a stop looks whether requests are still held.
+/// Interval at which a shutdown checks whether requests are still in progress.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An entry that runs.
+/// A running entry.
 #[derive(Debug)]
 pub struct DirectEntry {
-    /// What it believes.
+    /// State shared by the tasks of the entry.
     pub state: Arc<EntryState>,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub address: SocketAddr,
-    /// Where readiness and metrics are asked for.
+    /// Listen address of the admin endpoint.
     pub admin: SocketAddr,
     stop: StopHandle,
     front: JoinHandle<()>,
@@ -51,7 +51,7 @@
 }
 
 impl DirectEntry {
-    /// Starts an entry that keeps in a store which requests it refuses.
+    /// Starts an entry that persists the quarantined requests in a store.
     pub async fn start_with_quarantines(
         settings: DirectEntrySettings,
         store: Arc<dyn FactStore>,
@@ -75,7 +75,7 @@
         Self::start_on(EntryState::new(settings, headers), store).await
     }
 
-    /// Starts an entry that knows nothing yet but its settings and clock.
+    /// Starts an entry from a given state.
     pub async fn start_on(
         state: Arc<EntryState>,
         store: Arc<dyn FactStore>,
@@ -117,7 +117,8 @@
         Ok(Self { state, address, admin, stop, front, tasks })
     }
 
-    /// Stops: takes nothing new once callers have heard, and cuts nothing off.
+    /// Shuts down gracefully: accepts no more connections once callers have been redirected, and
+    /// waits for requests in progress.
     pub async fn leave(self) {
         decisions::note("life", "stopping", json!({ "held": self.held() }));
         self.state.stopping.store(true, Ordering::Relaxed);
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: which servers it is sent to, and when it is given up.
+//! Attempts of one request: selects servers, retries, and decides when to stop trying.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -34,60 +34,60 @@
 
 mod collect;
 
-/// Cause of a refusal of what servers ended under.
+/// Refusal cause: servers have crashed while running the same content.
 const QUARANTINED: &str = "quarantined";
 
-/// Cause of a refusal by lot while engines are full.
+/// Refusal cause: the request was drawn for load shedding while engines are full.
 const LOAD_SHED: &str = "load_shed";
 
-/// Cause of a refusal where no server of the regions that may run a request can.
+/// Refusal cause: no server in the regions allowed for the request can run it.
 const NO_SERVER_IN_ALLOWED_REGIONS: &str = "no_server_in_allowed_regions";
 
-/// Servers that one request reaches at most, those that refused it among them.
+/// Maximum number of servers that one request reaches, including those that refuse it.
 const MAX_SENDS: u32 = 4;
 
-/// Least time to come back when every server is full, in milliseconds.
+/// Minimum `Retry-After` when every server is full, in milliseconds.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 700;
 
-/// Spread of the time to come back, so that callers do not come together.
+/// Random addition to the `Retry-After`, so that callers do not return at the same moment.
 const OVERLOAD_RETRY_JITTER_MS: u64 = 1000;
 
-/// Time for which a repeatable request waits for an answer before another server is tried, as a
-/// multiple of its objective.
+/// Time that a repeatable request waits for a response before another server is tried, as a
+/// multiple of the route's latency objective.
 const RESPONSE_TIMEOUT_FACTOR: u32 = 3;
 
-/// Least time left in which another server is tried: a round trip and a first event.
+/// Minimum time left for a retry on another server: one round trip and the first event.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(20);
 
-/// Least patience.
+/// Lower bound of the response timeout.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The attempts of one request so far.
+/// Progress of one request through its attempts.
 #[derive(Debug)]
 pub struct Exchange {
-    /// This entry.
+    /// State of the entry.
     pub state: Arc<EntryState>,
-    /// The request.
+    /// The admitted request.
     pub request: AdmittedRequest,
     tried: Vec<ServerId>,
-    /// The server of the next sending, chosen while the last one was silent.
+    /// Server for the next attempt, selected while the previous one had not responded.
     pub reserved: Option<ChosenServer>,
-    /// Sendings that reached a server.
+    /// Attempts that reached a server.
     sends: u32,
-    /// Those of them that may have run.
+    /// Attempts that reached a server and may have run.
     possible_runs: u32,
     verdict: Option<RunVerdict>,
-    /// A server said nothing in time.
+    /// A server did not respond in time.
     had_timeout: bool,
-    /// The caller has the head of the answer.
+    /// The caller has received the response head.
     pub answer_begun: bool,
-    /// When the request came, by this entry's clock.
+    /// When the request arrived, by this entry's clock.
     pub arrived: Moment,
-    /// First token of the first sending, as it was predicted; none for plain services.
+    /// Predicted time to the first token of the first attempt; `None` for services without engines.
     pub predicted: Option<Duration>,
 }
 
-/// Passes a request on and returns its answer.
+/// Forwards a request to a server and returns the response.
 pub async fn run(
     state: &Arc<EntryState>,
     request: AdmittedRequest,
@@ -117,7 +117,7 @@
             }
         };
         let status = answer.response.status();
-        // What a server has answered is passed on unless another one is had in its place.
+        // A failed response is still forwarded if no other server can take the request.
         if is_failure(status)
             && exchange.request.repeatable
             && let Ok(next) = exchange.pick_server()
@@ -142,13 +142,13 @@
 }
 
 impl Exchange {
-    /// Counts how far this request has come.
+    /// Counts a step of this request in the metrics.
     fn count_step(&self, step: RequestStep) {
         let request = &self.request;
         self.state.metrics.count_step(&request.route.name, request.size, step);
     }
 
-    /// Writes down a decision about this request.
+    /// Writes a routing decision about this request to the decision log.
     pub fn log(&self, event: &str, fields: serde_json::Value) {
         let held_ms = self.request.arrived.elapsed().as_millis() as u64;
         let fields = json!({
@@ -162,8 +162,8 @@
         decisions::note("routing", event, fields);
     }
 
-    /// The regions whose servers may run this request: those of its route in the plan in force, which may
-    /// be newer than the one that let it in.
+    /// The regions in which this request may run, taken from its route in the current plan, which
+    /// may be newer than the plan that admitted the request.
     fn allowed_regions(&self) -> AllowedRegions {
         let route = &self.request.route;
         let routes = self.state.routes();
@@ -190,8 +190,8 @@
         self.state.servers().choose(self.state.now(), &query)
     }
 
-    /// The part of the new requests that is refused, if this one belongs to it. What has been sent once
-    /// has been let in.
+    /// The fraction of new requests that is shed, if this request is among them. A request that has
+    /// been sent once is not shed.
     fn shed_share(&self, regions: &AllowedRegions, choice: &ServerChoice) -> Option<f64> {
         let (figures, work) = self.request.engine.as_ref().zip(self.request.engine_work())?;
         if !self.tried.is_empty() {
@@ -207,23 +207,23 @@
         self.state.shedder().refuses(self.state.now(), &request, choice.engine_room())
     }
 
-    /// Whether the request may be sent to one more server.
+    /// Whether one more attempt is allowed.
     fn has_attempts(&self) -> bool {
         self.has_attempts_after(0)
     }
 
-    /// Whether that holds after `further` sendings more.
+    /// Whether one more attempt is allowed after `further` additional ones.
     fn has_attempts_after(&self, further: u32) -> bool {
         let (possible_runs, sends) = (self.possible_runs + further, self.sends + further);
         possible_runs < self.request.route.max_attempts && sends < MAX_SENDS
     }
 
-    /// Whether the next sending to a server is the last one allowed.
+    /// Whether the next attempt is the last one allowed.
     pub fn is_final_attempt(&self) -> bool {
         !self.has_attempts_after(1)
     }
 
-    /// The server for the next sending; the cause, if there is to be none.
+    /// Server for the next attempt, or the cause why there is none.
     pub fn next_server(&mut self) -> Result<ChosenServer, &'static str> {
         match self.reserved.take() {
             Some(server) => Ok(server),
@@ -232,8 +232,8 @@
     }
 
     fn pick_server(&self) -> Result<ChosenServer, &'static str> {
-        // The same content may have ended servers at other entries, or under an earlier id: attempts of
-        // this request say nothing of that.
+        // The same content may have crashed servers at other entries or under an earlier request
+        // id, which the attempts of this request do not show.
         let (now, digests) = (self.state.now(), &self.request.digests);
         if self.state.quarantine.check_request(now, digests).is_some() {
             return Err(QUARANTINED);
@@ -291,7 +291,7 @@
         Ok(server)
     }
 
-    /// Sends the request to `server`.
+    /// Sends the request to `server` and counts the attempt.
     pub async fn send(
         &mut self,
         server: ChosenServer,
@@ -319,8 +319,8 @@
         sent
     }
 
-    /// Finds out what it means that a server broke off while it had this request, of which it had
-    /// brought what `run` says.
+    /// Checks whether a server that closed the connection has ended, and reports an unplanned end to
+    /// the quarantine. `run` says how much of the answer the server had sent.
     pub async fn handle_connection_break(&self, server: &ChosenServer, run: EndedRun) {
         if !server_end::has_ended(&self.state, server).await {
             return;
@@ -337,8 +337,8 @@
         }
     }
 
-    /// Sends to `server` and waits; where it is silent, until another one is had in its place: without
-    /// that it is the only one who may still answer.
+    /// Sends to `server` and waits for its response. After the timeout the attempt is abandoned
+    /// only once another server is available: until then this one may still respond.
     async fn send_with_timeout(
         &self,
         server: ChosenServer,
@@ -359,7 +359,7 @@
         loop {
             let sent = tokio::select! {
                 sent = tokio::time::timeout_at(until, &mut sending) => sent,
-                // A server that has not begun it yet is spared.
+                // Cancelling spares a server that has not started the request yet.
                 () = &mut refused => return (Err(AttemptFailure::stopped(QUARANTINED)), None),
             };
             if let Ok(sent) = sent {
@@ -373,10 +373,10 @@
         }
     }
 
-    /// Which connection the next sending may use. A late answer to an earlier request could take the
-    /// place of one that cannot be asked again; and where connections have gone silent for good, those
-    /// to other servers may have as well, so that a second one would cost the caller the rest of the
-    /// objective.
+    /// Which connection the next attempt may use. A request that can't be repeated needs a fresh
+    /// one, since a late response to an earlier request could be taken for its own. After a timeout
+    /// other pooled connections may be dead as well, and a second dead one would use up the rest of
+    /// the latency objective.
     fn connection_choice(&self) -> ConnectionChoice {
         match self.request.repeatable && !self.had_timeout {
             true => ConnectionChoice::Kept,
@@ -384,7 +384,7 @@
         }
     }
 
-    /// Takes in a failed sending; the cause, if it may not be sent again.
+    /// Records a failed attempt; returns the cause if the request may not be retried.
     pub fn record_failure(&mut self, failure: &AttemptFailure) -> Result<(), &'static str> {
         let server = self.tried.last();
         let fields = json!({
@@ -403,7 +403,7 @@
         }
     }
 
-    /// The final answer of a request that is not passed on any more.
+    /// The error response for a request that is not retried any more.
     pub fn give_up(&self, cause: &'static str) -> ErrorResponse {
         let verdict = self.verdict.unwrap_or(RunVerdict::NotRun);
         let given_up = match verdict {
@@ -429,13 +429,13 @@
         given_up
     }
 
-    /// Time after which the caller of a request that has not run may come back.
+    /// `Retry-After` for a request that has not run.
     fn retry_after(&self) -> Duration {
         let rest = self.state.servers().retry_after(self.state.now(), &self.request.service);
         overload_retry_after().max(rest.unwrap_or_default())
     }
 
-    /// Writes down that a begun answer ends before it is whole: the caller's connection closes.
+    /// Records that a response was cut off after it began; the caller's connection is closed.
     pub fn record_cut(&self, cause: &'static str, fields: serde_json::Value) {
         self.state.metrics.count_request(RunVerdict::MayHaveRun);
         self.count_step(RequestStep::Cut);
@@ -443,7 +443,8 @@
         self.log("stream_cut", fields);
     }
 
-    /// Writes down the end of the request, whose answer began `first` after it came.
+    /// Records the completion of the request, whose response began `first` after the request
+    /// arrived.
     pub fn finish(&self, event: &str, first: Duration, fields: serde_json::Value) {
         self.state.metrics.count_request(RunVerdict::Ran);
         self.state.quarantine.record_whole_answer(self.state.now(), &self.request.digests);
@@ -457,7 +458,7 @@
     }
 }
 
-/// What kept the request from every server, for logs.
+/// Counts of servers by the reason that they could not take the request, for logs.
 fn full_servers_fields(full: &FullServers) -> serde_json::Value {
     json!({
         "limited": full.limited, "late": full.late, "left_to_near": full.left_to_near,
--- a/crates/daemon/src/direct/exchange/collect.rs
+++ b/crates/daemon/src/direct/exchange/collect.rs
@@ -1,4 +1,4 @@
-//! Answers that are not streams: read whole before anything of them is passed on.
+//! Responses that are not streams: read completely before any part is forwarded.
 
 use headlatch_core::direct::{server_table::ServerOutcome, suspects::EndedRun};
 use headlatch_types::RunVerdict;
@@ -13,11 +13,11 @@
     attempt::{self, AttemptFailure, ServerAnswer, is_failure},
 };
 
-/// Largest answer that is not a stream.
+/// Maximum size of a response that is not a stream.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 impl Exchange {
-    /// Reads an answer that is not a stream and makes it the caller's.
+    /// Reads a response that is not a stream and turns it into the response for the caller.
     pub(super) async fn collect(
         &mut self,
         answer: ServerAnswer,
@@ -25,7 +25,8 @@
         let ServerAnswer { response, connection, in_flight, .. } = answer;
         let server = in_flight.server().clone();
         let (mut parts, body) = response.into_parts();
-        // What is waited for is not read, so that the server keeps it.
+        // While this waits for memory the body is not read, so that flow control leaves it at the
+        // server.
         let announced = body.size_hint().lower().min(MAX_ANSWER_BYTES as u64) as usize;
         let memory = self.state.answer_memory.reserve(announced);
         let collected = Limited::new(body, MAX_ANSWER_BYTES).collect();
@@ -43,7 +44,7 @@
                         self.handle_connection_break(&server, EndedRun::Begun).await;
                         error.to_string()
                     }
-                    _ => "it did not end in time".to_owned(),
+                    _ => "response incomplete at the deadline".to_owned(),
                 };
                 return Err(AttemptFailure {
                     verdict: RunVerdict::MayHaveRun,
@@ -62,7 +63,7 @@
         let fields = json!({ "server": self.tried.last(), "status": parts.status.as_u16() });
         self.finish("answered", self.state.now().since(self.arrived), fields);
         let body = full_body(body).map_frame(move |frame| {
-            // Counted until the caller has taken it.
+            // Holds the memory until the body has been written to the caller.
             let _ = &memory;
             frame
         });
--- a/crates/daemon/src/direct/front.rs
+++ b/crates/daemon/src/direct/front.rs
@@ -1,4 +1,4 @@
-//! The listeners of an entry: callers, readiness, metrics.
+//! Listeners of an entry, for callers and for the admin endpoint.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,33 +17,35 @@
 
 use super::{handler, state::EntryState};
 
-/// Pause after a failed `accept`, so that a lack of descriptors does not spin.
+/// Delay after a failed `accept`, so that running out of file descriptors does not cause a busy
+/// loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Least buffer that hyper takes for a head.
+/// Minimum buffer size that hyper accepts.
 const MIN_HEAD_BUFFER: usize = 8 << 10;
 
-/// Added to the time that a kept connection may rest, so that a caller's last request within that
-/// time does not cross the close.
+/// Added to the idle timeout of kept-alive connections, so that a request sent just before the
+/// timeout does not cross the close.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 pub(super) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Without it small frames wait for acknowledgements; a failure only costs time.
+                // Without TCP_NODELAY small frames wait for acknowledgements. A failure to set it
+                // only adds latency.
                 let _ = stream.set_nodelay(true);
                 return stream;
             }
             Err(error) => {
-                log::warn!("front: accept failed, {error}");
+                log::warn!("failed to accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves callers until `signal`; then connections end as soon as their answers are out.
+/// Serves callers until `signal` fires; then each connection closes once its responses are sent.
 pub async fn serve(state: Arc<EntryState>, listener: TcpListener, mut signal: StopSignal) {
     let shutdown = GracefulShutdown::new();
     let stall = state.settings.direct.stall;
@@ -66,7 +68,7 @@
             .serve_connection(TokioIo::new(StallGuard::new(stream, stall)), service);
         let watched = shutdown.watch(connection);
         tokio::spawn(async move {
-            // A caller that goes away is no error of ours.
+            // Connection errors are caused by callers that disconnect.
             let _ = watched.await;
         });
     }
@@ -74,12 +76,12 @@
     shutdown.shutdown().await;
 }
 
-/// Answers questions for readiness and metrics.
+/// Serves readiness, metrics and the quarantine.
 pub async fn serve_admin(state: Arc<EntryState>, listener: TcpListener) {
     serve_answers(listener, move |method, path| answer_admin(&state, method, path)).await;
 }
 
-/// Answers questions, each by what `answer` gives for its method and path, for ever.
+/// Serves responses that `answer` computes from the method and path; never returns.
 pub(super) async fn serve_answers(
     listener: TcpListener,
     answer: impl Fn(&Method, &str) -> Response<Full<Bytes>> + Send + Sync + 'static,
@@ -96,13 +98,13 @@
             .timer(TokioTimer::new())
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // Whoever asks may go away.
+            // Connection errors are caused by clients that disconnect.
             let _ = connection.await;
         });
     }
 }
 
-/// Path of the requests that are refused, and before the digest of one.
+/// Path of the list of quarantined requests, and prefix of the path of each of them.
 const QUARANTINE_PATH: &str = "/quarantine";
 
 fn answer_admin(state: &EntryState, method: &Method, path: &str) -> Response<Full<Bytes>> {
@@ -124,7 +126,7 @@
     response
 }
 
-/// The requests that are refused, as a JSON list.
+/// The quarantined requests as a JSON array.
 fn show_quarantine(state: &EntryState) -> String {
     let refused = state.quarantine.refused(state.now());
     let shown = refused.iter().map(|one| {
@@ -135,11 +137,12 @@
     format!("{}\n", serde_json::Value::from_iter(shown))
 }
 
-/// Has the request whose digest ends `path` served again.
+/// Lifts the quarantine of the request whose digest ends `path`.
 fn lift_quarantine(state: &EntryState, path: &str) -> (StatusCode, String) {
     let name = path.trim_start_matches(QUARANTINE_PATH).trim_start_matches('/');
     let Ok(digest) = name.parse::<RequestDigest>() else {
-        let text = format!("{QUARANTINE_PATH}/{name}: a digest has 16 hexadecimal digits\n");
+        let text =
+            format!("{QUARANTINE_PATH}/{name}: expected a digest of 16 hexadecimal digits\n");
         return (StatusCode::BAD_REQUEST, text);
     };
     match state.quarantine.lift(state.now(), digest) {
@@ -148,7 +151,7 @@
     }
 }
 
-/// Binds an address.
+/// Binds a listener.
 pub async fn bind(
     address: SocketAddr,
 ) -> Result<TcpListener, error_stack::Report<crate::error::DaemonError>> {
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -1,4 +1,5 @@
-//! Takes in one request: route, tenant, body, and who answers it.
+//! Admits requests: matches the route, authenticates the tenant, reads the body and selects the
+//! service.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -34,61 +35,61 @@
 };
 use crate::decisions;
 
-/// Time to come back where no plan is known yet.
+/// `Retry-After` while no plan is known.
 const NO_PLAN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time for which a request that the plan in force does not allow waits for a newer plan that
-/// others have: one from a neighbour comes within 0.1 s, and a caller that is to try elsewhere
-/// must still have time for that.
+/// Maximum wait for a newer plan when the current one does not allow a request and another entry
+/// has a newer one. A plan from a nearby entry arrives within 0.1 s, and the caller must still have
+/// time to try another entry.
 const NEWER_PLAN_WAIT: Duration = Duration::from_millis(300);
 
-/// Deadline of a request that names none and whose route names none.
+/// Deadline of a request when neither the caller nor the route sets one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// A request that has been let in, with all that its sending needs.
+/// A request that has been admitted, with everything needed to send it.
 #[derive(Debug, Clone)]
 pub struct AdmittedRequest {
-    /// Its id as the caller gave it.
+    /// Request id from the caller.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as they came.
+    /// Headers from the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: HeldBody,
-    /// Whether the caller announced a body, if an empty one.
+    /// Whether the caller declared a body, even an empty one.
     pub declares_body: bool,
-    /// Its route.
+    /// Matched route.
     pub route: Route,
-    /// The service that answers.
+    /// Service that the request goes to.
     pub service: Arc<str>,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Its tenant.
+    /// Tenant that the key belongs to.
     pub tenant: Option<String>,
-    /// The engine's figures, if engines answer it.
+    /// Performance figures of the engine; `None` for services without engines.
     pub engine: Option<EngineFigures>,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When it is given up, unless the machine is suspended meanwhile.
+    /// When the request times out, not counting later suspensions of the machine.
     pub deadline: Instant,
-    /// Time for which the machine had been suspended when it came.
+    /// Total time that the machine had been suspended when the request arrived.
     pub suspended_before: Duration,
-    /// Whose limit the deadline is.
+    /// Which limit determined the deadline.
     pub limit: TimeLimit,
-    /// Version of the plan that decided.
+    /// Version of the plan that admitted the request.
     pub plan: u64,
-    /// What its head says.
+    /// Values read from the request headers.
     pub facts: RequestFacts,
-    /// What tells that the same content comes again.
+    /// Digests that identify the same content in other requests.
     pub digests: RequestDigests,
-    /// Where its body's size stands among those of its route.
+    /// Size class of the body among recent requests of the route.
     pub size: SizeClass,
 }
 
-/// Counts a request as held.
+/// Keeps a request in the count of requests in progress.
 struct InProgressGuard(Arc<EntryState>);
 
 impl InProgressGuard {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(state: Arc<EntryState>, request: Request<Incoming>) -> Response<AnswerBody> {
     let held = InProgressGuard::new(state.clone());
     let facts = state.headers.read_request(request.headers());
@@ -135,7 +136,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    // Held until the last byte of the answer has gone out.
+    // The request counts as in progress until the last byte of the response has been written.
     response.map(|body| {
         body.map_frame(move |frame| {
             let _ = &held;
@@ -196,18 +197,19 @@
     })
 }
 
-/// The route and tenant of a request.
+/// Route and tenant of a request.
 #[derive(Debug, Clone)]
 struct RouteMatch {
     route: Route,
     tenant: Option<String>,
 }
 
-/// Finds route and tenant, and the routes that decided.
+/// Finds the route and tenant of a request, and the route table that they were found in.
 ///
-/// What the plan in force does not allow, a newer one may: where another entry is known to have a
-/// newer one, that is waited for, and the request is not denied on the old one. Callers do not come
-/// back after a denial; after a refusal they find an entry that knows better.
+/// A request that the current plan does not allow may be allowed by a newer one. If another entry
+/// is known to have a newer plan, this waits for that plan, and if the plan does not arrive the
+/// request is refused rather than denied: callers do not retry after a denial, but after a refusal
+/// they try another entry.
 async fn find_target(
     state: &EntryState,
     parts: &Parts,
@@ -272,19 +274,19 @@
 }
 
 impl AdmittedRequest {
-    /// What it asks of an engine; none for plain services.
+    /// Engine work of the request; `None` for services without engines.
     pub fn engine_work(&self) -> Option<EngineWork> {
         let figures = self.engine.as_ref()?;
         Some(EngineWork::new(figures, self.facts.prompt_tokens, self.route.objective()))
     }
 
-    /// Time that is left of it, by the caller's clock.
+    /// Time left until the deadline as the caller counts it, including suspensions of the machine.
     pub fn time_left(&self, state: &EntryState) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
         left.saturating_sub(state.suspended_time().saturating_sub(self.suspended_before))
     }
 
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Stream
     }
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -1,4 +1,5 @@
-//! Daemons that call servers directly: entries that pass requests on, agents that stage weights.
+//! Daemons that talk to servers directly: entries, which route requests, and agents, which stage
+//! model weights.
 
 pub mod agent;
 mod agent_notices;
--- a/crates/daemon/src/direct/quarantine.rs
+++ b/crates/daemon/src/direct/quarantine.rs
@@ -1,4 +1,4 @@
-//! An entry's part in the quarantine of requests under which servers end.
+//! Quarantine of requests that crash servers, as one entry applies it.
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -20,20 +20,20 @@
 
 use crate::decisions;
 
-/// Something that is to be kept, or kept no longer, in the store.
+/// A pending write to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineWrite {
     /// The request is refused for this long.
     Keep(RequestDigest, Duration),
-    /// It is no longer refused.
+    /// The request is no longer refused.
     Lift(RequestDigest),
 }
 
-/// What one entry knows of requests under which servers ended, shared by its parts.
+/// Requests of one entry during which servers crashed, shared by its tasks.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     table: Mutex<SuspectTable>,
-    /// Wakes those who wait for an answer to a request: it may be refused now.
+    /// Wakes tasks that wait for a response when a request becomes refused.
     newly_refused: Notify,
     pending_writes: Mutex<Vec<QuarantineWrite>>,
     writes_pending: Notify,
@@ -41,14 +41,15 @@
 
 impl Quarantine {
     fn table(&self) -> MutexGuard<'_, SuspectTable> {
-        self.table.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn pending_writes(&self) -> MutexGuard<'_, Vec<QuarantineWrite>> {
-        self.pending_writes.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.pending_writes.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A request comes; the time for which it is refused, if it is.
+    /// Records that a request arrived. Returns the remaining time of its quarantine if it is
+    /// refused.
     pub fn check_request(&self, now: Moment, digests: &RequestDigests) -> Option<Duration> {
         let mut table = self.table();
         digests.iter().filter_map(|digest| table.note_coming(now, digest)).max()
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A server has ended while this entry had a request there.
+    /// Records that a server ended while it was processing a request of this entry.
     pub fn record_server_end(
         &self,
         now: Moment,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A request has run to its end.
+    /// Records that a request was answered completely.
     pub fn record_whole_answer(&self, now: Moment, digests: &RequestDigests) {
         for digest in digests.iter() {
             let change = self.table().note_whole(now, digest);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes in what another entry tells.
+    /// Merges notices of another entry.
     pub fn merge_notices(&self, now: Moment, notices: &[SuspectNotice]) {
         for notice in notices {
             let change = self.table().hear(now, *notice);
@@ -101,13 +102,13 @@
         }
     }
 
-    /// Takes in what the store has kept.
+    /// Restores a quarantine from the store.
     pub fn restore(&self, now: Moment, digest: RequestDigest, left: Duration) {
         let change = self.table().note_kept(now, digest, left);
         self.apply_change(digest, change, "store");
     }
 
-    /// Has a request served again, as an operator wants it; tells whether it was suspected.
+    /// Lifts a quarantine on behalf of an operator; returns whether the request was suspected.
     pub fn lift(&self, now: Moment, digest: RequestDigest) -> bool {
         let change = self.table().lift(now, digest);
         let lifted = change != SuspectChange::None;
@@ -115,7 +116,7 @@
         lifted
     }
 
-    /// What other entries are to be told.
+    /// Notices for other entries.
     pub fn notices(&self, now: Moment) -> Vec<SuspectNotice> {
         self.table().notices(now)
     }
@@ -125,12 +126,12 @@
         self.table().refused(now)
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired records.
     pub fn forget_old(&self, now: Moment) {
         self.table().forget_old(now);
     }
 
-    /// What is to be written to the store next.
+    /// Waits for the next writes to the store.
     pub async fn next_writes(&self) -> Vec<QuarantineWrite> {
         loop {
             let news = self.writes_pending.notified();
@@ -151,7 +152,8 @@
                 let fields = json!({ "content": content, "source": source, "lives": lives });
                 decisions::warn("quarantine", "refused_from_now", fields);
                 self.newly_refused.notify_waiters();
-                // All who have heard of the ends have judged alike; those who saw one keep it.
+                // Every entry that received the reports reaches the same verdict; only those that
+                // observed a crash write it to the store.
                 if seen {
                     self.queue_write(QuarantineWrite::Keep(digest, QUARANTINE_TIME));
                 }
--- a/crates/daemon/src/direct/quarantine_keeper.rs
+++ b/crates/daemon/src/direct/quarantine_keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps the quarantine in the store, and takes it from there at a start.
+//! Persists the quarantine in the store and restores it after a start.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,18 +16,18 @@
 };
 use crate::{decisions, timer::unix_time};
 
-/// Pause between two looks whether this entry is one that reads the store: the others have the
-/// quarantine from those within a second.
+/// Interval at which this checks whether the entry is a reader of the store. Other entries receive
+/// the quarantine from the readers within a second.
 const GATE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Tries of a write. Each entry that saw one of the ends writes, and all know the quarantine as long as
-/// one of them lives: it is given up after a quarter of a minute.
+/// Maximum number of attempts of a write, which is dropped after about 15 s. Every entry that
+/// observed a crash writes the quarantine, and all entries know it as long as one of them is alive.
 const MAX_WRITE_ATTEMPTS: u32 = 30;
 
-/// Takes what is kept, then writes what is due, for ever.
+/// Restores the persisted quarantine and then performs pending writes; never returns.
 pub async fn run(state: Arc<EntryState>, store: Arc<dyn QuarantineStore>) {
     tokio::join!(restore_kept(&state, &store), write_pending(&state, &store));
 }
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -1,8 +1,9 @@
-//! Passes a stream on event by event, and continues it on another server where that is allowed.
+//! Forwards a stream event by event and, where allowed, continues it on another server.
 //!
-//! A begun answer ends early only where nobody can go on with it: its server broke off, or the
-//! deadline has passed. A server that says nothing for long may only be slow. Another one is asked
-//! beside it, and whichever brings something first goes on.
+//! A response that has begun is cut off only if no server can continue it: its server closed the
+//! connection, or the deadline has passed. A server that sends nothing for a while may just be
+//! slow, so another server is asked in parallel, and the first one to send data continues the
+//! stream.
 
 use std::{pin::pin, time::Duration};
 
@@ -31,36 +32,37 @@
     exchange::Exchange,
 };
 
-/// Pause after which another server is asked as well, as a multiple of the pause that is wanted.
+/// Pause after which another server is asked in parallel, as a multiple of the route's pause
+/// objective.
 const PAUSE_TOLERANCE_FACTOR: u32 = 2;
 
-/// Least such pause.
+/// Lower bound of that pause.
 const MIN_PAUSE_TOLERANCE: Duration = Duration::from_millis(800);
 
-/// Why no more of a stream came from one server.
+/// Why a stream from a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// It ended as it should.
+    /// The stream is complete.
     Whole,
-    /// It broke off.
+    /// The server closed the connection.
     Broken,
-    /// Nothing came for long, and another server went on.
+    /// The server sent nothing for too long and another server continued the stream.
     Silent,
-    /// The deadline has passed.
+    /// The deadline passed.
     Deadline,
 }
 
-/// A server that a stream comes from.
+/// A server that a stream is read from.
 struct StreamSource {
     body: Incoming,
     connection: HeldConnection,
     in_flight: InFlight,
     splitter: EventSplitter,
-    /// Time that the server was given.
+    /// Time limit sent to the server.
     time_limit: LimitedTime,
-    /// When its answer began.
+    /// When the server's response began.
     started: Moment,
-    /// It has brought a whole event.
+    /// The server has sent a complete event.
     has_events: bool,
 }
 
@@ -77,12 +79,12 @@
         }
     }
 
-    /// How far the answer had come when the server ended.
+    /// How far the server got with the request, for the report of its crash.
     fn ended_run(&self) -> EndedRun {
         if self.has_events { EndedRun::Begun } else { EndedRun::Silent }
     }
 
-    /// The next bytes, or how the stream has ended.
+    /// Reads the next bytes of the stream, or how it ended.
     async fn next(&mut self) -> Result<Bytes, StreamEnd> {
         loop {
             match self.body.frame().await {
@@ -98,28 +100,27 @@
     }
 }
 
-/// A stream in progress.
 struct Relay {
     exchange: Exchange,
     last_event: Option<u64>,
     events: u64,
     timing: StreamTiming,
     status: StatusCode,
-    /// It has been told that nobody can be asked beside a silent server.
+    /// The wait for a silent server without a hedge has been logged.
     waiting_logged: bool,
 }
 
-/// What comes next.
+/// The next step of a stream.
 enum NextData {
-    /// Bytes from the server.
+    /// Data from the current server.
     Data(Bytes),
-    /// Another server has brought these bytes before the silent one brought any.
+    /// Another server sent this data before the silent one sent any.
     Replaced(Box<StreamSource>, Bytes),
-    /// Nothing comes any more from the server.
+    /// The current server sends nothing more.
     End(StreamEnd),
 }
 
-/// The caller's answer to a stream that a server has begun.
+/// Response to the caller for a stream that a server has begun.
 pub fn stream(exchange: Exchange, mut answer: ServerAnswer) -> Response<AnswerBody> {
     let status = answer.response.status();
     let mut headers = std::mem::take(answer.response.headers_mut());
@@ -177,7 +178,7 @@
 }
 
 impl Relay {
-    /// What comes next.
+    /// Reads the next data, hedging on another server during long pauses.
     async fn next(&mut self, source: &mut StreamSource) -> NextData {
         let deadline = self.exchange.request.deadline;
         let pause = Duration::from_millis(self.exchange.request.route.pause_objective_ms);
@@ -196,10 +197,11 @@
         }
     }
 
-    /// Asks another server while the silent one may still go on; none if there is nothing new.
+    /// Asks another server in parallel while the current one is silent; `None` if neither has
+    /// anything to forward.
     ///
-    /// To let go of the silent one first would cost callers what it has yet to say wherever the other
-    /// one refuses, is silent as well, or cannot be asked.
+    /// The silent server is kept meanwhile: dropping it first would lose the rest of its answer
+    /// whenever the other server refuses, is silent too, or can't be reached.
     async fn hedge(&mut self, source: &mut StreamSource) -> Option<NextData> {
         if !self.exchange.request.repeatable {
             return None;
@@ -248,13 +250,13 @@
         }
     }
 
-    /// Ends the connection to a server from which nothing more is wanted.
+    /// Closes the connection to a server whose stream is no longer needed.
     fn abandon(&self, source: StreamSource, end: StreamEnd) {
         source.in_flight.end(ServerOutcome::Lost);
         self.exchange.log("stream_stopped", self.log_fields(&source, end));
     }
 
-    /// The whole events that have come and were not passed on yet.
+    /// Complete events in `data` that have not been forwarded yet.
     fn new_events(&mut self, source: &mut StreamSource, data: &[u8]) -> Vec<StreamEvent> {
         let mut events = source.splitter.push(data);
         source.has_events |= !events.is_empty();
@@ -273,7 +275,7 @@
         events
     }
 
-    /// How far the stream has come, for logs.
+    /// Progress of the stream, for logs.
     fn log_fields(&self, source: &StreamSource, end: StreamEnd) -> serde_json::Value {
         let now = self.exchange.state.now();
         let millis = |time: Duration| time.as_millis() as u64;
@@ -286,7 +288,7 @@
         })
     }
 
-    /// Another server that goes on; the cause, if there is none.
+    /// Continues the stream on another server; the cause if there is none.
     async fn continue_elsewhere(&mut self, end: StreamEnd) -> Result<StreamSource, &'static str> {
         if !self.exchange.request.repeatable || end == StreamEnd::Deadline {
             return Err("stream_stopped");
@@ -317,7 +319,8 @@
     }
 }
 
-/// Has `server` go on after event `last`, until its first bytes are here.
+/// Resumes the stream on `server` after event `last` and waits for the first data. If the attempt
+/// fails, the server reserved meanwhile is tried.
 async fn start_on(
     exchange: &mut Exchange,
     mut server: ChosenServer,
@@ -346,7 +349,7 @@
     }
 }
 
-/// The source of a continued stream, if the server has begun to go on.
+/// Checks that the server resumes the stream with the same status as before.
 fn accept_continuation(
     exchange: &mut Exchange,
     sent: Result<ServerAnswer, AttemptFailure>,
@@ -366,7 +369,7 @@
             Err(StreamEnd::Broken)
         }
         Err(failure) => {
-            // Streams that come here may be repeated, so that every failure allows another sending.
+            // Only repeatable streams get here, so that every failure permits another attempt.
             let _ = exchange.record_failure(&failure);
             Err(StreamEnd::Broken)
         }
--- a/crates/daemon/src/direct/server_end.rs
+++ b/crates/daemon/src/direct/server_end.rs
@@ -1,4 +1,4 @@
-//! Tells a server that has ended from one that broke an answer off and lives.
+//! Distinguishes a server that has ended from one that only closed a connection.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,14 +7,15 @@
 
 use super::state::EntryState;
 
-/// Time for a connection to a server that broke off: several round trips between regions. The caller's
-/// request goes on elsewhere only after that.
+/// Timeout for the connection attempt to a server that closed a connection: several round trips
+/// between regions. The caller's request is retried on another server only after that.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Whether nobody listens any more where a server was that has just broken off.
+/// Whether nothing listens any more at the address of a server that just closed a connection.
 ///
-/// A server whose machine is cut off or stands still refuses nothing, and is not taken for ended. A
-/// connection that comes up replaces the one that broke.
+/// Only a refused connection counts: a server whose machine is disconnected or suspended refuses
+/// nothing and is not considered ended. A connection that succeeds goes to the pool in place of the
+/// closed one.
 pub async fn has_ended(state: &Arc<EntryState>, server: &ChosenServer) -> bool {
     let opened =
         state.connections.get(server.address, ConnectionChoice::Fresh, PROBE_TIMEOUT).await;
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -1,4 +1,4 @@
-//! What an entry believes, shared by its parts.
+//! State of an entry, shared by its tasks.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -54,72 +54,72 @@
 
 pub use reading::TopicGate;
 
-/// The state of one entry.
+/// State of one entry.
 #[derive(Debug)]
 pub struct EntryState {
-    /// Settings.
+    /// Settings of the entry.
     pub settings: DirectEntrySettings,
-    /// The outside's header form.
+    /// The platform's header format.
     pub headers: Arc<dyn HeaderForm>,
-    /// Connections to servers.
+    /// Pooled connections to servers.
     pub connections: Connections,
-    /// Metrics.
+    /// Metrics of the entry.
     pub metrics: NodeMetrics,
-    /// Memory for bodies of requests.
+    /// Memory budget for request bodies.
     pub request_memory: BodyMemory,
-    /// Memory for bodies of answers.
+    /// Memory budget for response bodies.
     pub answer_memory: BodyMemory,
-    /// Requests that are held.
+    /// Number of requests in progress.
     pub in_progress: AtomicUsize,
-    /// A stop has been asked for.
+    /// Shutdown has been requested.
     pub stopping: AtomicBool,
-    /// The list of servers has been read.
+    /// The list of servers has been loaded.
     pub servers_known: AtomicBool,
     started: Instant,
-    /// Where this entry begins among others with what each does in its turn, from 0 to 1.
+    /// Random offset from 0 to 1, so that entries take turns at different times.
     phase: f64,
     clock: NodeClock,
-    /// Suspended time that the parts of this entry have been told of.
+    /// Suspended time that has already been handled.
     handled_suspension: Mutex<Duration>,
-    /// The plan.
+    /// Current plan and its freshness.
     pub plan: PlanCopy,
-    /// Requests under which servers end.
+    /// Requests that are suspected or refused because servers crashed while running them.
     pub quarantine: Quarantine,
     servers: Mutex<ServerTable>,
     weights: Mutex<WeightDeadlines>,
     evacuated: Mutex<EvacuatedDomains>,
     retries: Mutex<RetryShare>,
-    /// Which part of the requests is refused while engines are full.
+    /// Decides which fraction of the requests is shed while engines are full.
     shedder: Mutex<LoadShedder>,
-    /// Sizes of requests, by route.
+    /// Recent request sizes by route.
     sizes: Mutex<SizeRanks>,
     peers: Mutex<PeerTable>,
-    /// What this entry has in progress at a busy server has changed.
+    /// Signalled when this entry's load on a busy server changes.
     pub loads_changed: Notify,
-    /// Has the plan read anew.
+    /// Triggers a reread of the plan.
     pub plan_refresh: Arc<Notify>,
-    /// Has the list of servers read anew.
+    /// Triggers a reread of the list of servers.
     pub servers_refresh: Arc<Notify>,
-    /// Has the wanted weights read anew.
+    /// Triggers a reread of the wanted weight versions.
     pub weights_refresh: Arc<Notify>,
-    /// Has the evacuations read anew.
+    /// Triggers a reread of the evacuations.
     pub evacuations_refresh: Arc<Notify>,
-    /// Another entry has taken in a change of servers that is missing here.
+    /// Signalled when another entry has a change of servers that this one lacks.
     pub newer_servers_offered: Notify,
-    /// The list of servers, for other entries.
+    /// Copy of the list of servers that is served to other entries.
     server_copy: Mutex<ServerCopy>,
-    /// How current the list of servers is.
+    /// Freshness of the list of servers.
     servers_age: Mutex<FactAge>,
-    /// Entries known, and since when that many have been.
+    /// Number of known entries, and when it last changed.
     known_entries: Mutex<(usize, Moment)>,
-    /// Servers have come for which agents may have told something.
+    /// Servers were added, for which agents may already have sent notices.
     notices_stale: AtomicBool,
-    /// Unknown headers in answers of servers.
+    /// Unknown headers seen in responses of servers.
     unknown_headers: Mutex<UnknownHeaders>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|broken| broken.into_inner())
+    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn retry_budget(retry: RawRetry) -> RetryBudget {
@@ -130,16 +130,17 @@
     }
 }
 
-/// Least time of suspension after which everything is read anew: less is borne by every wait.
+/// Minimum suspension that triggers a reread of everything; shorter ones are within the margin of
+/// every wait.
 const MIN_SUSPENSION: Duration = Duration::from_millis(300);
 
 impl EntryState {
-    /// The state of an entry that has just started.
+    /// State of an entry that has just started.
     pub fn new(settings: DirectEntrySettings, headers: Arc<dyn HeaderForm>) -> Arc<Self> {
         Self::with_clock(settings, headers, NodeClock::default())
     }
 
-    /// The same with a clock of its own.
+    /// Same as `new`, with the given clock.
     pub fn with_clock(
         settings: DirectEntrySettings,
         headers: Arc<dyn HeaderForm>,
@@ -197,23 +198,23 @@
         })
     }
 
-    /// Takes over other figures of the retry budget.
+    /// Changes the retry budget.
     pub fn set_retry_settings(&self, retry: RawRetry) {
         self.retries().set_budget(retry_budget(retry));
     }
 
-    /// The time since the start, that in which the machine was suspended included.
+    /// Time since the start, including time during which the machine was suspended.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Time for which the machine was suspended since the start.
+    /// Time during which the machine has been suspended since the start.
     pub fn suspended_time(&self) -> Duration {
         self.clock.slept()
     }
 
-    /// Has the parts do what they do after a freeze where the machine was suspended since the last
-    /// call: watches that were open may have been answered while nobody heard it.
+    /// Rereads the store if the machine was suspended since the last call: the responses to open
+    /// watches may have been lost during the suspension.
     pub fn handle_suspension(&self) {
         let slept = self.suspended_time();
         let mut handled = lock(&self.handled_suspension);
@@ -227,52 +228,52 @@
         self.reread_store();
     }
 
-    /// The routes in force; none before the first plan.
+    /// Current routes; `None` before the first plan.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.plan.routes()
     }
 
-    /// The servers.
+    /// Locks the server table.
     pub fn servers(&self) -> MutexGuard<'_, ServerTable> {
         lock(&self.servers)
     }
 
-    /// The wanted weights.
+    /// Locks the wanted weight versions.
     pub fn weights(&self) -> MutexGuard<'_, WeightDeadlines> {
         lock(&self.weights)
     }
 
-    /// The share of retries.
+    /// Locks the retry budgets.
     pub fn retries(&self) -> MutexGuard<'_, RetryShare> {
         lock(&self.retries)
     }
 
-    /// What refuses a part of the requests while engines are full.
+    /// Locks the load shedder.
     pub fn shedder(&self) -> MutexGuard<'_, LoadShedder> {
         lock(&self.shedder)
     }
 
-    /// The sizes of requests seen lately.
+    /// Locks the recent request sizes.
     pub fn sizes(&self) -> MutexGuard<'_, SizeRanks> {
         lock(&self.sizes)
     }
 
-    /// Unknown headers in answers of servers.
+    /// Locks the unknown headers seen in responses of servers.
     pub fn unknown_headers(&self) -> MutexGuard<'_, UnknownHeaders> {
         lock(&self.unknown_headers)
     }
 
-    /// The other processes.
+    /// Locks the table of other processes.
     pub fn peers(&self) -> MutexGuard<'_, PeerTable> {
         lock(&self.peers)
     }
 
-    /// Entries that live, this one among them.
+    /// Number of live entries, including this one.
     pub fn entries(&self) -> usize {
         self.peers().entries(PeerKind::Entry)
     }
 
-    /// Whether a stop has been asked for.
+    /// Whether shutdown has been requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
@@ -282,12 +283,12 @@
         !self.is_stopping() && self.servers_known.load(Ordering::Relaxed) && self.routes().is_some()
     }
 
-    /// The version of the plan in force.
+    /// Version of the current plan.
     pub fn plan_version(&self) -> PlanVersion {
         self.plan.version()
     }
 
-    /// Takes over a plan if it is newer than the one in force.
+    /// Applies a plan if it is newer than the current one.
     pub fn apply_plan(&self, plan: TrafficPlan, source: &str) {
         let version = plan.version;
         let bounded = plan.services.iter().filter(|(_, service)| service.cold_per_second > 0.0);
@@ -300,8 +301,9 @@
         }
     }
 
-    /// A peer has the plan of `version`: where that is newer than the one in force here, it is had
-    /// from a peer; where it stays so, this entry's watch has missed something.
+    /// Records that a peer has the plan of `version`. A newer plan is fetched from a peer; if this
+    /// entry stays behind nevertheless, its watch has missed a change and the plan is reread from
+    /// the store.
     pub fn record_peer_plan_version(&self, version: PlanVersion) {
         let is_reader = self.peers().is_plan_reader();
         if self.plan.note_told(self.now(), version, is_reader) && !self.awaits_turn() {
@@ -309,7 +311,7 @@
         }
     }
 
-    /// An entry that has a newer plan and is to be asked for it now.
+    /// An entry that has a newer plan and should be asked for it now.
     pub fn newer_plan_holder(&self) -> Option<SocketAddr> {
         let (now, version) = (self.now(), self.plan_version());
         let peers = self.peers();
@@ -323,7 +325,7 @@
         self.plan.holder(now, &view)
     }
 
-    /// Takes in news about the plan.
+    /// Applies a plan update from the store.
     pub fn apply_plan_update(&self, news: FactNews) {
         for fact in set_facts(news) {
             if let Fact::Plan(plan) = fact {
@@ -333,7 +335,7 @@
         self.plan.confirm(self.now());
     }
 
-    /// Takes in news about wanted weights.
+    /// Applies an update of the wanted weight versions from the store.
     pub fn apply_weights_update(&self, news: FactNews) {
         let now = self.now();
         for fact in set_facts(news) {
@@ -345,8 +347,8 @@
         }
     }
 
-    /// Takes in which versions a peer knows to be wanted: its watch may have heard what this
-    /// entry's has missed.
+    /// Merges the wanted weight versions that a peer knows of, since this entry's watch may have
+    /// missed some.
     pub fn merge_wanted_versions(&self, wanted: &[WantedNotice]) {
         let now = self.now();
         for one in wanted {
@@ -359,14 +361,14 @@
         }
     }
 
-    /// The versions that this entry knows to be wanted, for others.
+    /// The wanted weight versions that this entry knows of, for peers.
     pub fn wanted_notices(&self) -> Vec<WantedNotice> {
         let time = self.settings.direct.weights_time;
         self.weights().notices(self.now(), time)
     }
 
-    /// Has everything read anew from the store: this entry was cut off or stood still, and what
-    /// its watches wait for may have been lost on the way.
+    /// Rereads everything from the store, because this entry was disconnected or suspended and
+    /// responses to its watches may have been lost.
     pub fn reread_store(&self) {
         decisions::note("store", "read_anew", json!({}));
         self.plan_refresh.notify_one();
@@ -375,12 +377,12 @@
         self.evacuations_refresh.notify_one();
     }
 
-    /// How current the list of servers is.
+    /// Freshness of the list of servers.
     pub fn servers_age(&self) -> FactAge {
         *lock(&self.servers_age)
     }
 
-    /// Writes the ages of facts into the metrics.
+    /// Updates the metrics of how old the plan and the list of servers are.
     pub fn update_age_metrics(&self) {
         let now = self.now();
         for (topic, age) in [("plan", self.plan.age()), ("servers", self.servers_age())] {
@@ -390,14 +392,14 @@
         }
     }
 
-    /// The least version of a service's weights that a request may start on now.
+    /// The oldest version of a model's weights on which a request may start now.
     pub fn min_version(&self, model: Option<&str>) -> Option<WeightVersion> {
         let model: ModelName = model?.parse().ok()?;
         let time = self.settings.direct.weights_time;
         self.weights().least(self.now(), &model, time)
     }
 
-    /// Time for which a server with `version` may work on what it is sent now.
+    /// Time that a server with `version` may spend on a request that is sent now.
     pub fn work_time(
         &self,
         model: Option<&str>,
@@ -408,7 +410,7 @@
         self.weights().work_time(self.now(), &model, version?, time)
     }
 
-    /// What this entry has at servers that are about to change, for their agents.
+    /// This entry's requests at servers that are about to change, for their agents.
     pub fn drains(&self) -> Vec<DrainNotice> {
         let services = self.servers().changing_services();
         let limits = services.into_iter().filter_map(|service| {
@@ -419,7 +421,7 @@
         self.servers().drains(self.now(), &limits)
     }
 
-    /// What limits the continuation of a service's streams; none for plain services.
+    /// Limits on continuing the streams of a service; `None` for services without engines.
     fn continuation_limits(&self, service: &str) -> Option<ContinuationLimits> {
         let routes = self.routes()?;
         let engine = routes.plan().services.get(service)?.engine.as_ref()?;
@@ -432,8 +434,8 @@
         Some(ContinuationLimits { layers: engine.layers, least, retries, within_region })
     }
 
-    /// Takes in what others have in progress; tells whether what agents tell is to be taken in anew
-    /// as well, since some are gone or some servers are new.
+    /// Applies the loads reported by other entries. Returns whether the notices of agents must be
+    /// applied again, because peers are gone or servers were added.
     pub fn refresh_loads(&self) -> bool {
         let has_limits = self.servers().has_limits();
         let (loads, gone, silent, entries, holders) = {
@@ -467,7 +469,7 @@
         self.notices_stale.swap(false, Ordering::Relaxed) || !gone.is_empty()
     }
 
-    /// Takes in what others have in progress at servers where that has changed.
+    /// Applies the changed loads of other entries at `servers`.
     pub fn refresh_loads_of(&self, servers: &[u32]) {
         if servers.is_empty() {
             return;
@@ -479,14 +481,15 @@
         loads.into_iter().for_each(|(key, load)| table.set_other(key, load));
     }
 
-    /// Has the other entries of the failure domain told what has changed at busy servers.
+    /// Triggers a notice about changed loads at busy servers to the other entries of the failure
+    /// domain.
     pub fn notify_load_changes(&self) {
         if self.servers().has_changes() {
             self.loads_changed.notify_one();
         }
     }
 
-    /// What agents that live tell of their servers.
+    /// Applies the notices of live agents to their servers.
     pub fn refresh_notices(&self) {
         let notices: HashMap<SocketAddr, _> = {
             let peers = self.peers();
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are being emptied, as the store and other entries tell it.
+//! Evacuated failure domains, as reported by the store and by other entries.
 
 use headlatch_core::direct::{evacuation::EvacuatedDomains, peers::DomainKey};
 use headlatch_outside::facts::{Fact, FactChange, NamedFact};
@@ -9,12 +9,12 @@
 use crate::{decisions, direct::facts::FactNews};
 
 impl EntryState {
-    /// The failure domains that are being emptied, as far as this entry knows.
+    /// The evacuated failure domains that this entry knows of.
     pub fn evacuated(&self) -> EvacuatedDomains {
         lock(&self.evacuated).clone()
     }
 
-    /// Takes in news about evacuations.
+    /// Applies an update of the evacuations from the store.
     pub fn apply_evacuations_update(&self, news: FactNews) {
         let mark = news.covered();
         let (base, facts) = match news {
@@ -44,7 +44,7 @@
         self.merge_evacuated(&base.with_changes(mark, changes));
     }
 
-    /// Takes over the failure domains that are being emptied where that is newer than what is known.
+    /// Replaces the evacuated failure domains if `told` is newer.
     pub fn merge_evacuated(&self, told: &EvacuatedDomains) {
         if !lock(&self.evacuated).take(told) {
             return;
--- a/crates/daemon/src/direct/state/reading.rs
+++ b/crates/daemon/src/direct/state/reading.rs
@@ -1,4 +1,4 @@
-//! Which entries read the store, and when after a start.
+//! Decides which entries read the store, and when they do so after a start.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -10,27 +10,28 @@
 use super::{EntryState, lock};
 use crate::direct::facts::{ReadGate, ReaderDuty};
 
-/// Time after the first start of the whole system in which an entry waits to hear of others before it
-/// reads the store: each would take itself for the first.
+/// After the first start of the whole system, time for which an entry discovers peers before it
+/// reads the store. Without it each entry would take itself for the only one and read.
 const DISCOVERY_TIME: Duration = Duration::from_millis(400);
 
-/// The same where others run or have run: who is named by the first answers has answered by then, so
-/// that few of dozens of entries read a plan of up to a megabyte over one link between regions.
+/// Same when other entries are running or have run. Peers named in the first responses have
+/// responded by then, so that only a few of dozens of entries read a plan of up to a megabyte over
+/// one link between regions.
 const RESTART_DISCOVERY_TIME: Duration = Duration::from_millis(150);
 
-/// The same where nobody is heard: after a loss of power hundreds of processes find each other at first
-/// through a few that have just started as well.
+/// Same when no other entry has been found: after a power loss hundreds of processes discover each
+/// other at first through a few that have just started as well.
 const RESTART_ALONE_DISCOVERY_TIME: Duration = Duration::from_millis(600);
 
-/// Time for which the number of known entries must have stood still before an entry that lacks the
-/// plan takes itself for one that reads the store.
+/// Time for which the number of known entries must be unchanged before an entry without a plan may
+/// consider itself a reader of the store.
 const STABLE_TIME: Duration = Duration::from_millis(300);
 
-/// The same where others run or have run: two ticks in which nobody else was found.
+/// Same when other entries are running or have run: two ticks without a new entry.
 const RESTART_STABLE_TIME: Duration = Duration::from_millis(150);
 
-/// Time after a start from which the first entries that still lack the plan or the servers read them by
-/// themselves; the others follow in turns.
+/// Time after a start when the first entries that still lack the plan or the servers read the store
+/// themselves; the others follow one after the other.
 const SELF_READ_DELAY: Duration = Duration::from_millis(1500);
 
 impl ReadGate for EntryState {
@@ -40,12 +41,12 @@
         if lacks && since >= self.self_read_delay() {
             return true;
         }
-        // Callers wait, unless the whole system starts for the first time.
+        // Callers are waiting, unless the whole system starts for the first time.
         let known = *lock(&self.known_entries);
         let stable_for = self.now().since(known.1);
         let settled = match self.settings.direct.first_start {
             true => since >= DISCOVERY_TIME && stable_for >= STABLE_TIME,
-            // Nobody is known: others may have started at the same moment.
+            // No other entry is known, but some may have started at the same moment.
             false if known.0 <= 1 => since >= RESTART_ALONE_DISCOVERY_TIME,
             false => since >= RESTART_DISCOVERY_TIME && stable_for >= RESTART_STABLE_TIME,
         };
@@ -65,7 +66,8 @@
     }
 }
 
-/// Opens as the plan's gate does, for topics whose calls say nothing about the plan.
+/// Same gate as that of the plan, for topics whose calls say nothing about the freshness of the
+/// plan.
 #[derive(Debug)]
 pub struct TopicGate(pub Arc<EntryState>);
 
@@ -87,12 +89,12 @@
         self.routes().is_none() || !self.servers_known.load(Ordering::Relaxed)
     }
 
-    /// Time after the start from which this entry reads by itself what nobody has handed it.
+    /// Time after the start when this entry reads from the store whatever no peer has sent it.
     fn self_read_delay(&self) -> Duration {
         turn_time(SELF_READ_DELAY, self.peers().readers_before())
     }
 
-    /// Whether others are to read the store before this entry does, which has just started.
+    /// Whether this entry has just started and should leave reading the store to others.
     pub(super) fn awaits_turn(&self) -> bool {
         self.lacks_facts()
             && !self.peers().is_plan_reader()
--- a/crates/daemon/src/direct/state/server_signals.rs
+++ b/crates/daemon/src/direct/state/server_signals.rs
@@ -1,4 +1,4 @@
-//! Back-pressure and drain signals that servers send in the headers of their answers.
+//! Back-pressure and drain signals that servers send in their response headers.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 use super::EntryState;
 use crate::decisions;
 
-/// Kinds of signals, in metrics.
+/// Values of the `kind` label of the signal metrics.
 const DRAINING: &str = "draining";
 const RETRY_AFTER: &str = "retry_after";
 const RATE_LIMIT: &str = "rate_limit";
 
-/// Backoff for a malformed `Retry-After`.
+/// Backoff after a malformed `Retry-After`.
 const FALLBACK_BACKOFF: Duration = Duration::from_secs(5);
 
 impl EntryState {
-    /// Applies the signals in an answer of `server` to a request sent at `sent`.
+    /// Applies the signals in a response of `server` to a request that was sent at `sent`.
     pub fn apply_signals(&self, server: &ChosenServer, sent: Moment, facts: &AnswerFacts) {
         self.apply_draining(server, facts.draining);
         self.apply_retry_after(server, facts.retry_after);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Merges draining servers that other entries have heard of.
+    /// Merges draining servers reported by other entries.
     pub fn merge_draining(&self, lives: &[LifeKey]) {
         let now = self.now();
         for life in lives {
@@ -78,7 +78,7 @@
         let limit = match facts.rate_limit {
             ParsedHeader::Valid(limit) => Some(limit),
             ParsedHeader::Malformed => Some(self.fallback_limit(server)),
-            // Unsigned answers may come from a proxy that drops headers.
+            // Unsigned responses may come from a proxy that drops headers.
             ParsedHeader::Absent if facts.signed => None,
             ParsedHeader::Absent => return,
         };
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The known limit in place of a malformed one, or a low one.
+    /// Replacement for a malformed limit: the last known limit, or else a low one.
     fn fallback_limit(&self, server: &ChosenServer) -> RequestRate {
         self.metrics.count_malformed_signal(RATE_LIMIT);
         let limit = self.servers().rate_limit(server.life).unwrap_or(FALLBACK_LIMIT);
@@ -99,7 +99,7 @@
         limit
     }
 
-    /// Merges rate limits that other entries have heard of.
+    /// Merges rate limits reported by other entries.
     pub fn merge_limits(&self, notices: &[LimitNotice]) {
         let now = self.now();
         for notice in notices {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The living entries, this one included.
+    /// All live entries, including this one.
     pub(super) fn entry_peers(&self, peers: &PeerTable) -> Vec<EntryPeer> {
         let node = &self.settings.node;
         let own = EntryPeer { key: node.control.into(), domain: DomainKey::from(&node.domain) };
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -1,4 +1,4 @@
-//! The list of servers, as the store and other entries tell it.
+//! List of servers, as reported by the store and by other entries.
 
 use std::{collections::HashSet, net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -14,15 +14,16 @@
 use super::{EntryState, lock};
 use crate::{decisions, direct::facts::FactNews};
 
-/// Time for which this entry may know fewer changes of servers than a peer before it reads them
-/// anew: longer than its watch rests after each change and a slow store takes to answer. That a server
-/// leaves is told at once besides.
+/// Maximum time for which this entry may be behind a peer's list of servers before it rereads the
+/// list. It is longer than a watch pauses after each change plus the response time of a slow store.
+/// Servers that leave are announced immediately in addition.
 const MAX_SERVERS_LAG: Duration = Duration::from_millis(1400);
 
-/// The same for the second reader of a failure domain, whose watch rests for 2 s.
+/// Same for the second reader of a failure domain, whose watch pauses for 2 s.
 const SECOND_READER_MAX_LAG: Duration = Duration::from_millis(3200);
 
-/// News of servers as changes; what cannot be read is written down and left out.
+/// Converts an update from the store to server changes; records that can't be parsed are logged and
+/// left out.
 fn server_changes(news: FactNews, newest: ChangeMark) -> ServerChanges {
     let covered = news.covered();
     let (whole, facts) = match news {
@@ -39,7 +40,7 @@
             FactChange::Set(NamedFact { name, revision, fact: Err(error) }) => {
                 let fields = json!({ "name": name, "error": error.to_string() });
                 decisions::warn("servers", "unreadable", fields);
-                // What was there before says nothing any more of what is there now.
+                // The previous record of the server is no longer valid either.
                 if !name.is_empty() {
                     let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
                     told.gone.push(GoneServer { revision, id });
@@ -55,14 +56,14 @@
 }
 
 impl EntryState {
-    /// Takes in news about servers from the store.
+    /// Applies an update of the list of servers from the store.
     pub fn apply_servers_update(&self, news: FactNews) {
         let (covered, newest) = (news.covered(), news.newest());
         self.apply_servers(server_changes(news, newest));
         lock(&self.servers_age).confirm_from_store(self.now(), covered, newest);
     }
 
-    /// Takes in what another entry has told of servers.
+    /// Applies server changes from another entry.
     pub fn merge_server_changes(&self, changes: ServerChanges) {
         if changes.covered <= self.servers_age().covered() {
             return;
@@ -72,7 +73,7 @@
         lock(&self.servers_age).take_list_from_peer(self.now(), covered, newest);
     }
 
-    /// What has changed of the list of servers for an entry that knows everything up to `after`.
+    /// Server changes since `after`, for another entry.
     pub fn server_changes(&self, after: ChangeMark) -> Option<ServerChanges> {
         lock(&self.server_copy).changes_after(after)
     }
@@ -89,7 +90,7 @@
             let fields = json!({ "servers": listed.len(), "at": changes.covered.0 });
             decisions::note("servers", "listed", fields);
         }
-        // One entry of a failure domain writes them down for all of them.
+        // Only one entry of each failure domain logs the changes.
         let notes = self.peers().speaks_for_domain();
         changes.set.iter().cloned().for_each(|marked| self.set_server(marked, notes));
         changes.gone.iter().for_each(|gone| self.remove_server(gone));
@@ -101,13 +102,13 @@
         self.connections.retain(|address| wanted.contains(address));
     }
 
-    /// The newest change of servers that this entry has taken in.
+    /// Mark of the newest server change that this entry has applied.
     pub fn newest_servers(&self) -> ChangeMark {
         lock(&self.servers_age).newest()
     }
 
-    /// A peer has taken in changes of servers up to `newest`; where this entry goes on knowing
-    /// less, its watch has missed something.
+    /// Records that a peer has applied server changes up to `newest`. If this entry stays behind,
+    /// its watch has missed a change and the list is reread.
     pub fn record_peer_servers_mark(&self, newest: ChangeMark) {
         let now = self.now();
         let rank = self.peers().reader_rank();
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Servers that peers have heard to be leaving: they get nothing more here either.
+    /// Marks servers that peers report as leaving; they get no more requests from this entry
+    /// either.
     pub fn merge_leaving(&self, leaving: &[LeavingNotice]) {
         let now = self.now();
         for notice in leaving {
--- a/crates/daemon/src/direct/unknown_headers.rs
+++ b/crates/daemon/src/direct/unknown_headers.rs
@@ -1,4 +1,5 @@
-//! Unknown headers in answers of servers, which may carry signals that this version does not support.
+//! Unknown headers in responses of servers, which may carry signals that this version does not
+//! support.
 
 use std::collections::HashSet;
 
@@ -9,20 +10,21 @@
 use super::state::EntryState;
 use crate::decisions;
 
-/// Most names with a label of their own.
+/// Maximum number of header names that get a label of their own.
 const MAX_NAMES: usize = 64;
 
-/// Label of further names.
+/// Label of all further names.
 const OTHER_NAMES: &str = "other";
 
-/// The names seen so far.
+/// Header names seen so far.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
     names: HashSet<HeaderName>,
 }
 
 impl UnknownHeaders {
-    /// Records a name; returns whether it is new, or none if too many are known.
+    /// Records a name and returns whether it is new; `None` if the maximum number of names is
+    /// reached.
     fn note(&mut self, name: &HeaderName) -> Option<bool> {
         if self.names.contains(name) {
             return Some(false);
@@ -32,7 +34,7 @@
 }
 
 impl EntryState {
-    /// Counts the unknown headers of an answer, and logs each name once.
+    /// Counts the unknown headers of a response and logs each name once.
     pub fn record_unknown_headers(&self, server: &ServerId, headers: &HeaderMap) {
         for name in self.headers.unknown_in_answer(headers) {
             let noted = self.unknown_headers().note(&name);
