--- a/crates/daemon/tests/allowed_regions.rs
+++ b/crates/daemon/tests/allowed_regions.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 use support::{
     TestHeaders, TestStore, ask, header, plan, record, route,
-    server::{AnswerPlan, Script, TestServer},
+    server::{Responder, Script, TestServer},
     settings,
 };
 use tokio::{net::TcpStream, sync::watch};
@@ -73,7 +73,7 @@
         Self::with_store(near, far, TestStore::default()).await
     }
 
-    async fn with_store(near: impl AnswerPlan, far: impl AnswerPlan, store: TestStore) -> Self {
+    async fn with_store(near: impl Responder, far: impl Responder, store: TestStore) -> Self {
         let store = Arc::new(store);
         let (near, far) = (TestServer::start(near).await, TestServer::start(far).await);
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan_in(5, "r2"))));
@@ -137,7 +137,7 @@
     released: watch::Receiver<bool>,
 }
 
-impl AnswerPlan for HeldBreak {
+impl Responder for HeldBreak {
     async fn answer(&self, _stream: &mut TcpStream, _head: &str) -> std::io::Result<()> {
         let mut released = self.released.clone();
         // The test has ended where nobody can tell it any more.
--- a/crates/daemon/tests/begun_answers.rs
+++ b/crates/daemon/tests/begun_answers.rs
@@ -57,14 +57,14 @@
 }
 
 /// An entry before two engines.
-struct Setting {
+struct Fixture {
     entry: DirectEntry,
     store: Arc<TestStore>,
     first: TestServer,
     second: TestServer,
 }
 
-impl Setting {
+impl Fixture {
     async fn new(first: EventPace, second: EventPace) -> Self {
         Self::with_plan(engine_plan(), first, second).await
     }
@@ -86,7 +86,7 @@
     }
 
     /// Names a version of the weights and waits until the entry has heard of it.
-    async fn name_version(&self, version: u64) {
+    async fn publish_version(&self, version: u64) {
         let model = MODEL.parse().expect("a name");
         let wanted = WantedWeights { model, version: WeightVersion(version) };
         self.store.set(FactTopic::Weights, MODEL, Fact::Weights(wanted));
@@ -107,7 +107,7 @@
     }
 }
 
-fn whole_stream() -> (Vec<u64>, bool) {
+fn complete_stream() -> (Vec<u64>, bool) {
     ((1..=20).collect(), true)
 }
 
@@ -117,23 +117,23 @@
 #[tokio::test]
 async fn a_stream_that_began_on_older_weights_is_served_to_its_end() {
     let pace = EventPace { gap: Duration::from_millis(50), ..EventPace::default() };
-    let setting = Setting::new(pace, pace).await;
-    setting.name_version(2).await;
+    let fixture = Fixture::new(pace, pace).await;
+    fixture.publish_version(2).await;
     tokio::time::sleep(Duration::from_millis(1200)).await;
-    expect_that!(setting.stream().await, eq(&whole_stream()));
-    let sendings = setting.first.seen().len() + setting.second.seen().len();
-    expect_that!(sendings, eq(1), "nobody else can go on with it");
+    expect_that!(fixture.stream().await, eq(&complete_stream()));
+    let sends = fixture.first.seen().len() + fixture.second.seen().len();
+    expect_that!(sends, eq(1), "nobody else can go on with it");
 }
 
 /// Asks for a stream and, once it has begun, lets the server's agent say that it is about to change.
-async fn kept_during_a_stream(plan: TrafficPlan) -> u32 {
+async fn kept_streams_reported(plan: TrafficPlan) -> u32 {
     let pace = EventPace { gap: Duration::from_millis(100), ..EventPace::default() };
-    let setting = Arc::new(Setting::with_plan(plan, pace, pace).await);
-    let asking = setting.clone();
+    let fixture = Arc::new(Fixture::with_plan(plan, pace, pace).await);
+    let asking = fixture.clone();
     let stream = tokio::spawn(async move { asking.stream().await });
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let drains = drains_told(&setting.entry.state, setting.first.address).await;
-    expect_that!(stream.await.expect("it ends"), eq(&whole_stream()));
+    let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
+    expect_that!(stream.await.expect("it ends"), eq(&complete_stream()));
     drains.iter().map(|drain| drain.kept).sum()
 }
 
@@ -143,14 +143,14 @@
 #[gtest]
 #[tokio::test]
 async fn an_entry_tells_a_changing_server_which_streams_nobody_could_go_on_with() {
-    expect_that!(kept_during_a_stream(engine_plan()).await, eq(0));
+    expect_that!(kept_streams_reported(engine_plan()).await, eq(0));
     let mut plan = engine_plan();
     plan.routes.iter_mut().for_each(|route| route.max_attempts = 1);
-    expect_that!(kept_during_a_stream(plan).await, eq(1));
+    expect_that!(kept_streams_reported(plan).await, eq(1));
 }
 
 /// A plan whose streams wait 0.8 s for an event and 1.2 s for the head before another server is asked.
-fn impatient_plan() -> TrafficPlan {
+fn short_timeout_plan() -> TrafficPlan {
     let mut plan = engine_plan();
     for route in &mut plan.routes {
         route.objective_ms = 300;
@@ -160,7 +160,7 @@
 }
 
 /// Silence for 1.5 s after the third event.
-fn pauses() -> EventPace {
+fn pause_after_third_event() -> EventPace {
     EventPace { pause: Some((3, Duration::from_millis(1500))), ..EventPace::default() }
 }
 
@@ -168,13 +168,14 @@
 /// else might go on.
 #[gtest]
 #[tokio::test]
-async fn a_pause_costs_nothing_where_the_second_server_refuses_or_is_silent() {
+async fn a_pause_does_not_cut_a_stream_if_the_second_server_refuses_or_is_silent() {
     let refuses = EventPace { refuses: true, ..EventPace::default() };
     let silent = EventPace { head: Duration::from_secs(30), ..EventPace::default() };
     for second in [refuses, silent] {
-        let setting = Setting::with_plan(impatient_plan(), pauses(), second).await;
-        expect_that!(setting.stream().await, eq(&whole_stream()), "second: {second:?}");
-        expect_that!(setting.second.seen().len(), ge(1));
+        let fixture =
+            Fixture::with_plan(short_timeout_plan(), pause_after_third_event(), second).await;
+        expect_that!(fixture.stream().await, eq(&complete_stream()), "second: {second:?}");
+        expect_that!(fixture.second.seen().len(), ge(1));
     }
 }
 
@@ -182,12 +183,12 @@
 #[tokio::test]
 async fn a_pause_costs_nothing_where_nobody_may_be_asked() {
     let late_head = EventPace { head: Duration::from_millis(1700), ..EventPace::default() };
-    for first in [pauses(), late_head] {
-        let setting = Setting::with_plan(impatient_plan(), first, EventPace::default()).await;
+    for first in [pause_after_third_event(), late_head] {
+        let fixture = Fixture::with_plan(short_timeout_plan(), first, EventPace::default()).await;
         let budget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(10) };
-        setting.entry.state.retries().set_budget(budget);
-        expect_that!(setting.stream().await, eq(&whole_stream()), "first: {first:?}");
-        expect_that!(setting.second.seen(), is_empty());
+        fixture.entry.state.retries().set_budget(budget);
+        expect_that!(fixture.stream().await, eq(&complete_stream()), "first: {first:?}");
+        expect_that!(fixture.second.seen(), is_empty());
     }
 }
 
@@ -196,9 +197,9 @@
 #[tokio::test]
 async fn a_stream_goes_on_elsewhere_when_its_server_is_silent_for_good() {
     let silent = EventPace { pause: Some((3, Duration::from_secs(60))), ..EventPace::default() };
-    let setting = Setting::with_plan(impatient_plan(), silent, EventPace::default()).await;
-    expect_that!(setting.stream().await, eq(&whole_stream()));
-    let seen = setting.second.seen();
+    let fixture = Fixture::with_plan(short_timeout_plan(), silent, EventPace::default()).await;
+    expect_that!(fixture.stream().await, eq(&complete_stream()));
+    let seen = fixture.second.seen();
     expect_that!(seen.len(), eq(1));
     expect_that!(seen[0], contains_substring("x-last: 3"));
 }
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -44,34 +44,34 @@
     .into_bytes()
 }
 
-fn whole(head: &str) -> Vec<u8> {
+fn complete_answer(head: &str) -> Vec<u8> {
     answer(head, "200 OK", "", "whole")
 }
 
-fn refuses(head: &str) -> Vec<u8> {
+fn refuse(head: &str) -> Vec<u8> {
     answer(head, "503 Service Unavailable", "x-not-run: 1\r\n", "")
 }
 
-fn fails(head: &str) -> Vec<u8> {
+fn server_error(head: &str) -> Vec<u8> {
     answer(head, "500 Internal Server Error", "", "broken")
 }
 
-fn says_nothing(_head: &str) -> Vec<u8> {
+fn no_answer(_head: &str) -> Vec<u8> {
     Vec::new()
 }
 
-fn cuts(head: &str) -> Vec<u8> {
-    let mut whole = answer(head, "200 OK", "", "whole");
-    whole.truncate(whole.len() - 2);
-    whole
+fn truncated_answer(head: &str) -> Vec<u8> {
+    let mut complete_answer = answer(head, "200 OK", "", "whole");
+    complete_answer.truncate(complete_answer.len() - 2);
+    complete_answer
 }
 
-fn answers_another(head: &str) -> Vec<u8> {
+fn answer_with_other_id(head: &str) -> Vec<u8> {
     let other = head.replace("x-id: ", "x-id: other-");
     answer(&other, "200 OK", "", "not yours")
 }
 
-fn events(head: &str, last: u64, ends: bool, torn: &str) -> Vec<u8> {
+fn events(head: &str, last: u64, ends: bool, partial: &str) -> Vec<u8> {
     let id = header(head, "x-id").unwrap_or_default();
     let from = header(head, "x-last").and_then(|last| last.parse().ok()).unwrap_or(0u64) + 1;
     let mut out = format!(
@@ -81,8 +81,8 @@
         let text = format!("id: {event}\ndata: piece {event}\n\n");
         out += &format!("{:x}\r\n{text}\r\n", text.len());
     }
-    if !torn.is_empty() {
-        out += &format!("{:x}\r\n{torn}\r\n", torn.len());
+    if !partial.is_empty() {
+        out += &format!("{:x}\r\n{partial}\r\n", partial.len());
     }
     if ends {
         out += "0\r\n\r\n";
@@ -90,26 +90,26 @@
     out.into_bytes()
 }
 
-fn streams_five(head: &str) -> Vec<u8> {
+fn five_events(head: &str) -> Vec<u8> {
     events(head, 5, true, "")
 }
 
-fn serves_all(head: &str) -> Vec<u8> {
-    if head.contains("/stream/") { streams_five(head) } else { whole(head) }
+fn any_answer(head: &str) -> Vec<u8> {
+    if head.contains("/stream/") { five_events(head) } else { complete_answer(head) }
 }
 
-fn stops_in_the_third(head: &str) -> Vec<u8> {
+fn cut_in_third_event(head: &str) -> Vec<u8> {
     events(head, 2, false, "id: 3\ndata: pie")
 }
 
-struct Setting {
+struct Fixture {
     entry: DirectEntry,
     store: Arc<TestStore>,
     first: TestServer,
     second: TestServer,
 }
 
-impl Setting {
+impl Fixture {
     async fn new(first: Script, second: Script) -> Self {
         Self::with_store(first, second, TestStore::default()).await
     }
@@ -136,12 +136,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_comes_whole_and_the_key_stays_here() {
-    let setting = Setting::new(whole, whole).await;
-    let answer = setting.ask("/safe/x?y=1", "k").await.expect("an answer");
+async fn a_complete_answer_is_forwarded_and_the_key_is_not_sent_to_the_server() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let answer = fixture.ask("/safe/x?y=1", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(&answer.body[..], eq(b"whole"));
-    let seen = setting.first.seen();
+    let seen = fixture.first.seen();
     expect_that!(seen.len(), eq(1));
     expect_that!(seen[0], starts_with("GET /safe/x?y=1 HTTP/1.1"));
     expect_that!(seen[0], contains_substring("x-tenant: t"));
@@ -151,11 +151,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_no_plan_allows_is_denied_and_without_a_plan_nothing_is() {
-    let setting = Setting::new(whole, whole).await;
-    let denied = setting.ask("/other/x", "k").await.expect("an answer");
+async fn unknown_routes_and_keys_are_denied_but_only_refused_without_a_plan() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let denied = fixture.ask("/other/x", "k").await.expect("an answer");
     expect_that!(denied.status, eq(StatusCode::NOT_FOUND));
-    let denied = setting.ask("/safe/x", "wrong").await.expect("an answer");
+    let denied = fixture.ask("/safe/x", "wrong").await.expect("an answer");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
     let store = Arc::new(TestStore::default());
     let ignorant = DirectEntry::start(settings(), store, Arc::new(TestHeaders)).await;
@@ -167,10 +167,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refused_request_goes_to_another_server() {
-    let setting = Setting::new(refuses, serves_all).await;
+async fn a_refused_request_is_retried_on_another_server() {
+    let fixture = Fixture::new(refuse, any_answer).await;
     for path in ["/safe/x", "/once/x", "/stream/x"] {
-        let answer = setting.ask(path, "k").await.expect("an answer");
+        let answer = fixture.ask(path, "k").await.expect("an answer");
         expect_that!(answer.status, eq(StatusCode::OK), "{path}");
         tokio::time::sleep(Duration::from_millis(400)).await;
     }
@@ -178,45 +178,45 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_may_have_run_is_sent_again_only_if_it_may_be_repeated() {
-    let setting = Setting::new(says_nothing, whole).await;
-    let answer = setting.ask("/once/x", "k").await.expect("an answer");
+async fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
+    let fixture = Fixture::new(no_answer, complete_answer).await;
+    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
-    expect_that!(setting.second.seen(), is_empty());
-    let setting = Setting::new(says_nothing, whole).await;
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+    expect_that!(fixture.second.seen(), is_empty());
+    let fixture = Fixture::new(no_answer, complete_answer).await;
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
-    expect_that!(setting.second.seen().len(), eq(1));
+    expect_that!(fixture.second.seen().len(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_cut_answer_is_never_passed_off_as_whole() {
-    let setting = Setting::new(cuts, whole).await;
-    let answer = setting.ask("/once/x", "k").await.expect("an answer");
+async fn a_truncated_answer_is_never_forwarded_as_complete() {
+    let fixture = Fixture::new(truncated_answer, complete_answer).await;
+    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
-    let setting = Setting::new(cuts, whole).await;
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+    let fixture = Fixture::new(truncated_answer, complete_answer).await;
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(&answer.body[..], eq(b"whole"));
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_to_another_request_is_not_passed_on() {
-    let setting = Setting::new(answers_another, whole).await;
-    let answer = setting.ask("/once/x", "k").await.expect("an answer");
+async fn an_answer_to_another_request_is_not_forwarded() {
+    let fixture = Fixture::new(answer_with_other_id, complete_answer).await;
+    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
     expect_that!(&answer.body[..], not(eq(b"not yours")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_failure_goes_to_another_server_if_it_may_be_repeated() {
-    let setting = Setting::new(fails, whole).await;
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+async fn a_failed_request_is_retried_if_repeatable() {
+    let fixture = Fixture::new(server_error, complete_answer).await;
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
-    let setting = Setting::new(fails, whole).await;
-    let answer = setting.ask("/once/x", "k").await.expect("an answer");
+    let fixture = Fixture::new(server_error, complete_answer).await;
+    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::INTERNAL_SERVER_ERROR));
     expect_that!(&answer.body[..], eq(b"broken"));
 }
@@ -224,59 +224,59 @@
 #[gtest]
 #[tokio::test]
 async fn a_stream_that_stops_is_continued_without_a_piece_lost_or_repeated() {
-    let setting = Setting::new(stops_in_the_third, streams_five).await;
-    let answer = setting.ask("/stream/x", "k").await.expect("a whole stream");
+    let fixture = Fixture::new(cut_in_third_event, five_events).await;
+    let answer = fixture.ask("/stream/x", "k").await.expect("a whole stream");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let pieces: Vec<&str> = text.lines().filter(|line| line.starts_with("data")).collect();
     let wanted =
         ["data: piece 1", "data: piece 2", "data: piece 3", "data: piece 4", "data: piece 5"];
     expect_that!(pieces, eq(&wanted.to_vec()));
-    let seen = setting.second.seen();
+    let seen = fixture.second.seen();
     expect_that!(seen.len(), eq(1));
     expect_that!(seen[0], contains_substring("x-last: 2"));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_that_nobody_can_continue_does_not_end_as_whole() {
-    let setting = Setting::new(stops_in_the_third, refuses).await;
-    let answer = setting.ask("/stream/x", "k").await;
+async fn a_stream_that_cannot_be_continued_does_not_end_as_complete() {
+    let fixture = Fixture::new(cut_in_third_event, refuse).await;
+    let answer = fixture.ask("/stream/x", "k").await;
     expect_that!(answer.is_err(), eq(true));
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_older_plan_never_takes_the_place_of_a_newer_one() {
-    let setting = Setting::new(whole, whole).await;
+async fn an_older_plan_never_replaces_a_newer_one() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     let mut older = plan(4);
     older.routes.clear();
-    setting.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(older)));
+    fixture.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(older)));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    expect_that!(setting.entry.state.plan_version(), eq(PlanVersion(5)));
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+    expect_that!(fixture.entry.state.plan_version(), eq(PlanVersion(5)));
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_draining_server_gets_nothing_more() {
-    let setting = Setting::new(whole, whole).await;
-    let mut leaving = record("i1", setting.first.address, "z1");
+async fn a_draining_server_gets_no_requests() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let mut leaving = record("i1", fixture.first.address, "z1");
     leaving.draining = true;
-    setting.store.set(FactTopic::Servers, "i1", Fact::Server(leaving));
-    let is_draining = || setting.entry.state.servers().records().any(|record| record.draining);
+    fixture.store.set(FactTopic::Servers, "i1", Fact::Server(leaving));
+    let is_draining = || fixture.entry.state.servers().records().any(|record| record.draining);
     while !is_draining() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    setting.ask("/safe/x", "k").await.expect("an answer");
-    expect_that!(setting.first.seen(), is_empty());
-    expect_that!(setting.second.seen().len(), eq(1));
+    fixture.ask("/safe/x", "k").await.expect("an answer");
+    expect_that!(fixture.first.seen(), is_empty());
+    expect_that!(fixture.second.seen().len(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_body_longer_than_the_plan_allows_is_refused() {
-    let setting = Setting::new(whole, whole).await;
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     let mut headers = HeaderMap::new();
     headers.insert("x-id", "r1".parse().expect("a value"));
     headers.insert("x-key", "k".parse().expect("a value"));
@@ -284,7 +284,7 @@
     let connections = Connections::default();
     let choice = headlatch_http::ConnectionChoice::Fresh;
     let (mut held, _) = connections
-        .get(setting.entry.address, choice, Duration::from_secs(5))
+        .get(fixture.entry.address, choice, Duration::from_secs(5))
         .await
         .expect("it connects");
     let body = Bytes::from(vec![b'x'; 2000]);
@@ -297,11 +297,11 @@
 #[tokio::test]
 async fn a_watch_that_broke_off_is_not_taken_up_where_it_was() {
     let forgetful = TestStore { forgetful: true, ..TestStore::default() };
-    let setting = Setting::with_store(whole, whole, forgetful).await;
+    let fixture = Fixture::with_store(complete_answer, complete_answer, forgetful).await;
     // Give the watches time to begin; one that begins later lists the newer plan anyway.
     tokio::time::sleep(Duration::from_millis(50)).await;
-    setting.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(6))));
-    while setting.entry.state.plan_version() != PlanVersion(6) {
+    fixture.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(6))));
+    while fixture.entry.state.plan_version() != PlanVersion(6) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -309,16 +309,16 @@
 #[gtest]
 #[tokio::test]
 async fn an_entry_that_is_behind_its_peers_reads_the_plan_anew() {
-    let setting = Setting::new(whole, whole).await;
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     // The watch is silent: the store changes without a word.
     let newer = NamedFact {
         name: "main".to_owned(),
         revision: StoreRevision(2),
         fact: Ok(Fact::Plan(Box::new(plan(7)))),
     };
-    setting.store.replace_silently(FactTopic::Plan, newer);
-    while setting.entry.state.plan_version() != PlanVersion(7) {
-        setting.entry.state.record_peer_plan_version(PlanVersion(7));
+    fixture.store.replace_silently(FactTopic::Plan, newer);
+    while fixture.entry.state.plan_version() != PlanVersion(7) {
+        fixture.entry.state.record_peer_plan_version(PlanVersion(7));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -333,22 +333,22 @@
 #[gtest]
 #[tokio::test]
 async fn a_request_is_not_denied_on_a_plan_that_others_know_to_be_old() {
-    let setting = Setting::new(whole, whole).await;
-    let state = setting.entry.state.clone();
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let state = fixture.entry.state.clone();
     // Nobody is behind: the denial stands.
-    let denied = setting.ask("/safe/x", "new").await.expect("an answer");
+    let denied = fixture.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
     state.record_peer_plan_version(PlanVersion(6));
     // The newer plan does not come in time: the caller is sent to another entry.
-    let refused = setting.ask("/safe/x", "new").await.expect("an answer");
+    let refused = fixture.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(refused.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(refused.headers.contains_key("retry-after"), eq(true));
-    expect_that!(setting.ask("/safe/x", "k").await.expect("an answer").status, eq(StatusCode::OK));
+    expect_that!(fixture.ask("/safe/x", "k").await.expect("an answer").status, eq(StatusCode::OK));
     // Once it is here it decides.
     state.apply_plan(plan_with_key(6, "new"), "peer");
-    let served = setting.ask("/safe/x", "new").await.expect("an answer");
+    let served = fixture.ask("/safe/x", "new").await.expect("an answer");
     expect_that!(served.status, eq(StatusCode::OK));
-    let denied = setting.ask("/safe/x", "newer").await.expect("an answer");
+    let denied = fixture.ask("/safe/x", "newer").await.expect("an answer");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
 }
 
@@ -356,7 +356,7 @@
 /// all of them would have to come again.
 #[gtest]
 #[tokio::test]
-async fn a_plan_that_comes_slowly_is_read_to_its_end() {
+async fn a_slow_plan_transfer_is_not_aborted() {
     let text = serde_json::to_vec(&plan(7)).expect("a plan can be written");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -379,19 +379,19 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_has_missed_a_change_of_servers_reads_them_anew() {
-    let setting = Setting::new(whole, whole).await;
-    let draining = ServerRecord { draining: true, ..record("i1", setting.first.address, "z1") };
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let draining = ServerRecord { draining: true, ..record("i1", fixture.first.address, "z1") };
     let changed = NamedFact {
         name: "i1".to_owned(),
         revision: StoreRevision(9),
         fact: Ok(Fact::Server(draining)),
     };
-    setting.store.replace_silently(FactTopic::Servers, changed);
+    fixture.store.replace_silently(FactTopic::Servers, changed);
     for _ in 0..15 {
-        setting.entry.state.record_peer_servers_mark(ChangeMark(9));
+        fixture.entry.state.record_peer_servers_mark(ChangeMark(9));
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let leaving = setting.entry.state.servers().records().any(|record| record.draining);
+    let leaving = fixture.entry.state.servers().records().any(|record| record.draining);
     expect_that!(leaving, eq(true));
 }
 
@@ -399,14 +399,14 @@
 /// that name says nothing any more, and goes until there is a good one again.
 #[gtest]
 #[tokio::test]
-async fn a_server_whose_entry_cannot_be_read_gets_nothing_until_it_can() {
-    let setting = Setting::new(whole, whole).await;
+async fn a_server_with_an_unreadable_record_gets_no_requests() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     let unreadable = |revision| NamedFact {
         name: "i1".to_owned(),
         revision: StoreRevision(revision),
         fact: Err(InputError::new("state".to_owned(), "it is none".to_owned())),
     };
-    let state = &setting.entry.state;
+    let state = &fixture.entry.state;
     let changes = |fact| {
         let changes = vec![FactChange::Set(fact)];
         FactNews::Changes(FactChanges { changes, at: StoreRevision(9) })
@@ -415,43 +415,43 @@
     expect_that!(knows(), eq(true));
     state.apply_servers_update(changes(unreadable(5)));
     expect_that!(knows(), eq(false));
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
-    expect_that!(setting.first.seen(), is_empty());
+    expect_that!(fixture.first.seen(), is_empty());
     // Other entries hear of it like of a server that has left.
     let told = state.server_changes(ChangeMark(1)).expect("it has a list");
     expect_that!(told.gone.iter().any(|gone| &*gone.id.0 == "i1"), eq(true));
-    let record = Fact::Server(record("i1", setting.first.address, "z1"));
+    let record = Fact::Server(record("i1", fixture.first.address, "z1"));
     let good = NamedFact { fact: Ok(record), ..unreadable(7) };
     state.apply_servers_update(changes(good));
     expect_that!(knows(), eq(true));
-    let _ = setting.ask("/safe/x", "k").await;
-    expect_that!(setting.first.seen(), not(is_empty()));
+    let _ = fixture.ask("/safe/x", "k").await;
+    expect_that!(fixture.first.seen(), not(is_empty()));
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_entry_answers_an_agent_whose_server_is_about_to_change() {
-    let setting = Setting::new(whole, whole).await;
-    let drain = DrainNotice { server: setting.first.address, waiting: 0, kept: 0 };
-    let drains = drains_told(&setting.entry.state, setting.first.address).await;
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let drain = DrainNotice { server: fixture.first.address, waiting: 0, kept: 0 };
+    let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
     expect_that!(drains, eq(&vec![drain]));
     // Nothing is sent there any more.
-    let answer = setting.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::OK));
-    expect_that!(setting.first.seen(), is_empty());
+    expect_that!(fixture.first.seen(), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_plan_goes_whole_from_one_entry_to_another() {
-    let setting = Setting::new(whole, whole).await;
+async fn a_plan_is_fetched_completely_from_another_entry() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("it is bound");
-    tokio::spawn(plan_sync::serve(setting.entry.state.clone(), listener));
+    tokio::spawn(plan_sync::serve(fixture.entry.state.clone(), listener));
     let connections = Connections::default();
     let fetched = plan_sync::fetch(&connections, address).await.expect("a plan");
-    let routes = setting.entry.state.routes().expect("a plan");
+    let routes = fixture.entry.state.routes().expect("a plan");
     expect_that!(fetched == **routes.plan(), eq(true));
     // Nobody listens there: the error names the place.
     let nowhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -511,11 +511,11 @@
 #[gtest]
 #[tokio::test]
 async fn an_entry_serves_with_plan_and_servers_from_another_entry() {
-    let setting = Setting::new(whole, whole).await;
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
     let other = DirectEntry::start(settings(), Arc::new(SilentStore), Arc::new(TestHeaders)).await;
     let other = other.expect("it starts");
     other.state.apply_plan(plan(5), "peer");
-    let changes = setting.entry.state.server_changes(ChangeMark(0)).expect("it has a list");
+    let changes = fixture.entry.state.server_changes(ChangeMark(0)).expect("it has a list");
     expect_that!(changes.whole, eq(true));
     other.state.merge_server_changes(changes.clone());
     expect_that!(other.state.is_ready(), eq(true));
@@ -531,22 +531,22 @@
 /// must not be lost on another of them.
 #[gtest]
 #[tokio::test]
-async fn a_request_that_met_silence_goes_over_a_new_connection() {
-    let setting = Setting::new(whole, whole).await;
-    let first = HalfDeafServer::start(whole).await.expect("a port is free");
-    let second = HalfDeafServer::start(whole).await.expect("a port is free");
+async fn a_retry_after_a_timeout_uses_a_new_connection() {
+    let fixture = Fixture::new(complete_answer, complete_answer).await;
+    let first = HalfDeafServer::start(complete_answer).await.expect("a port is free");
+    let second = HalfDeafServer::start(complete_answer).await.expect("a port is free");
     for (name, server, zone) in [("i1", &first, "z1"), ("i2", &second, "z2")] {
         let fact = Fact::Server(record(name, server.address, zone));
-        setting.store.set(FactTopic::Servers, name, fact);
+        fixture.store.set(FactTopic::Servers, name, fact);
     }
     while first.accepted().min(second.accepted()) == 0 {
-        let asked = (0..7).map(|_| setting.ask("/quick/x", "k"));
+        let asked = (0..7).map(|_| fixture.ask("/quick/x", "k"));
         futures_util::future::join_all(asked).await;
     }
     first.silence_connections();
     second.silence_connections();
     for _ in 0..3 {
-        let answer = setting.ask("/quick/x", "k").await.expect("an answer");
+        let answer = fixture.ask("/quick/x", "k").await.expect("an answer");
         expect_that!(answer.status, eq(StatusCode::OK));
         expect_that!(&answer.body[..], eq(b"whole"));
     }
--- a/crates/daemon/tests/harmful_entries.rs
+++ b/crates/daemon/tests/harmful_entries.rs
@@ -19,7 +19,7 @@
 use tokio::runtime::Runtime;
 
 #[gtest]
-fn entries_agree_on_what_they_refuse_and_know_it_after_all_were_killed() {
+fn entries_share_quarantines_and_restore_them_after_all_were_killed() {
     let callers = Runtime::new().expect("a runtime");
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
--- a/crates/daemon/tests/harmful_requests.rs
+++ b/crates/daemon/tests/harmful_requests.rs
@@ -39,18 +39,18 @@
 };
 
 /// An entry before servers that a harmful request ends.
-struct Setting {
+struct Fixture {
     entry: DirectEntry,
     servers: Vec<MortalServer>,
     store: Arc<TestStore>,
 }
 
-impl Setting {
+impl Fixture {
     async fn new(count: usize) -> Self {
-        Self::keeping(count, Arc::default()).await
+        Self::with_quarantines(count, Arc::default()).await
     }
 
-    async fn keeping(count: usize, kept: Arc<KeptList>) -> Self {
+    async fn with_quarantines(count: usize, kept: Arc<KeptList>) -> Self {
         let store = Arc::new(TestStore::default());
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
         let mut servers = Vec::new();
@@ -76,7 +76,7 @@
     }
 
     /// Sends a harmful request until it is refused.
-    async fn have_it_refused(&self) {
+    async fn quarantine_harmful_request(&self) {
         let refused = |answer: &CallAnswer| answer.status == StatusCode::SERVICE_UNAVAILABLE;
         for _ in 0..3 {
             if self.ask("/stream/harmful").await.as_ref().is_ok_and(refused) {
@@ -85,29 +85,29 @@
         }
     }
 
-    fn ended(&self) -> usize {
+    fn ended_servers(&self) -> usize {
         self.servers.iter().filter(|server| server.has_ended()).count()
     }
 }
 
-fn is_whole(answer: &std::result::Result<CallAnswer, String>) -> bool {
+fn is_complete(answer: &std::result::Result<CallAnswer, String>) -> bool {
     let last = |answer: &CallAnswer| String::from_utf8_lossy(&answer.body).contains("piece 20\n");
     answer.as_ref().is_ok_and(|answer| answer.status == StatusCode::OK && last(answer))
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_ends_its_servers_is_not_sent_to_more_and_more_of_them() {
-    let setting = Setting::new(6).await;
+async fn a_request_that_crashes_servers_is_not_sent_to_ever_more_of_them() {
+    let fixture = Fixture::new(6).await;
     for coming in 0..8 {
-        let answer = setting.ask("/stream/harmful").await;
-        expect_that!(is_whole(&answer), eq(false), "coming {coming}");
+        let answer = fixture.ask("/stream/harmful").await;
+        expect_that!(is_complete(&answer), eq(false), "coming {coming}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    expect_that!(setting.ended(), le(3));
+    expect_that!(fixture.ended_servers(), le(3));
     for number in 0..6 {
-        let answer = setting.ask(&format!("/stream/sound{number}")).await;
-        expect_that!(is_whole(&answer), eq(true), "sound request {number}: {answer:?}");
+        let answer = fixture.ask(&format!("/stream/sound{number}")).await;
+        expect_that!(is_complete(&answer), eq(true), "sound request {number}: {answer:?}");
     }
 }
 
@@ -118,76 +118,76 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_servers_ended_under_is_refused_at_once_and_not_asked_back_soon() {
-    let setting = Setting::new(4).await;
-    setting.have_it_refused().await;
+async fn a_quarantined_request_is_refused_at_once_with_a_long_retry_after() {
+    let fixture = Fixture::new(4).await;
+    fixture.quarantine_harmful_request().await;
     let begun = tokio::time::Instant::now();
-    let answer = setting.ask("/stream/harmful").await.expect("an answer");
+    let answer = fixture.ask("/stream/harmful").await.expect("an answer");
     expect_that!(begun.elapsed(), lt(Duration::from_millis(100)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let rest = answer.headers.get("retry-after").and_then(|value| value.to_str().ok());
     expect_that!(rest.and_then(|rest| rest.parse::<f64>().ok()), some(ge(60.0)));
     // The same path with another query is the same content, whatever the caller adds to it.
-    let answer = setting.ask("/stream/harmful?try=3").await.expect("an answer");
+    let answer = fixture.ask("/stream/harmful?try=3").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(setting.ended(), eq(3));
+    expect_that!(fixture.ended_servers(), eq(3));
 }
 
 /// The servers of a service are lost in one moment, with sound streams at all of them.
 #[gtest]
 #[tokio::test]
 async fn sound_requests_are_served_again_after_their_servers_were_lost_together() {
-    let setting = Setting::new(6).await;
+    let fixture = Fixture::new(6).await;
     let paths: Vec<String> = (0..12).map(|number| format!("/stream/sound{number}")).collect();
-    let asked = futures_util::future::join_all(paths.iter().map(|path| setting.ask(path)));
+    let asked = futures_util::future::join_all(paths.iter().map(|path| fixture.ask(path)));
     let lost = async {
         for wave in [0..2, 2..4] {
             tokio::time::sleep(Duration::from_millis(70)).await;
-            setting.servers[wave].iter().for_each(MortalServer::end);
+            fixture.servers[wave].iter().for_each(MortalServer::end);
         }
     };
     let _ = tokio::join!(asked, lost);
-    expect_that!(setting.ended(), eq(4));
-    expect_that!(setting.entry.state.quarantine.refused(setting.entry.state.now()), is_empty());
+    expect_that!(fixture.ended_servers(), eq(4));
+    expect_that!(fixture.entry.state.quarantine.refused(fixture.entry.state.now()), is_empty());
     tokio::time::sleep(Duration::from_millis(700)).await;
     for path in &paths {
-        expect_that!(is_whole(&setting.ask(path).await), eq(true), "{path}");
+        expect_that!(is_complete(&fixture.ask(path).await), eq(true), "{path}");
     }
 }
 
 /// A server that is told to leave ends in the middle of what it still has.
 #[gtest]
 #[tokio::test]
-async fn the_planned_end_of_a_server_is_no_suspicion() {
-    let setting = Setting::new(2).await;
-    let server = &setting.servers[0];
+async fn a_planned_shutdown_of_a_server_raises_no_suspicion() {
+    let fixture = Fixture::new(2).await;
+    let server = &fixture.servers[0];
     let draining = ServerRecord { draining: true, ..record("i0", server.address, "z1") };
     let asked = (0..6).map(|number| format!("/stream/sound{number}"));
     let asked: Vec<_> = asked.collect();
-    let asked = futures_util::future::join_all(asked.iter().map(|path| setting.ask(path)));
+    let asked = futures_util::future::join_all(asked.iter().map(|path| fixture.ask(path)));
     let ends = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        setting.store.set(FactTopic::Servers, "i0", Fact::Server(draining));
+        fixture.store.set(FactTopic::Servers, "i0", Fact::Server(draining));
         tokio::time::sleep(Duration::from_millis(50)).await;
         server.end();
     };
     let _ = tokio::join!(asked, ends);
     expect_that!(server.seen(), not(is_empty()));
-    let now = setting.entry.state.now();
-    expect_that!(setting.entry.state.quarantine.notices(now), is_empty());
+    let now = fixture.entry.state.now();
+    expect_that!(fixture.entry.state.quarantine.notices(now), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn another_entry_refuses_what_it_is_told_of_from_the_first_coming_on() {
-    let (first, second) = (Setting::new(4).await, Setting::new(3).await);
-    first.have_it_refused().await;
-    expect_that!(first.ended(), eq(3));
+async fn another_entry_refuses_a_reported_request_from_the_start() {
+    let (first, second) = (Fixture::new(4).await, Fixture::new(3).await);
+    first.quarantine_harmful_request().await;
+    expect_that!(first.ended_servers(), eq(3));
     let told = first.entry.state.quarantine.notices(first.entry.state.now());
     second.entry.state.quarantine.merge_notices(second.entry.state.now(), &told);
     let answer = second.ask("/stream/harmful").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(second.ended(), eq(0));
+    expect_that!(second.ended_servers(), eq(0));
 }
 
 /// The digest of what the tests' caller asks for.
@@ -206,13 +206,13 @@
 /// A copy that still waits for its server elsewhere is taken back from it.
 #[gtest]
 #[tokio::test]
-async fn a_sending_that_has_not_begun_is_stopped_once_the_request_is_refused() {
-    let setting = Setting::new(2).await;
+async fn an_attempt_without_a_response_is_cancelled_once_the_request_is_refused() {
+    let fixture = Fixture::new(2).await;
     let slow = EventPace { head: Duration::from_secs(5), ..EventPace::default() };
     let server = MortalServer::start(slow).await;
     for (name, server) in [("i0", &server), ("i1", &server)] {
         let fact = Fact::Server(record(name, server.address, "z1"));
-        setting.store.set(FactTopic::Servers, name, fact);
+        fixture.store.set(FactTopic::Servers, name, fact);
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     let begun = tokio::time::Instant::now();
@@ -220,11 +220,11 @@
         while server.seen().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let state = &setting.entry.state;
+        let state = &fixture.entry.state;
         let left = Duration::from_secs(60);
         state.quarantine.restore(state.now(), digest_of("/stream/sound"), left);
     };
-    let (answer, ()) = tokio::join!(setting.ask("/stream/sound"), refuse);
+    let (answer, ()) = tokio::join!(fixture.ask("/stream/sound"), refuse);
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
     expect_that!(answer.expect("an answer").status, eq(StatusCode::BAD_GATEWAY));
 }
@@ -232,11 +232,11 @@
 /// All entries may be killed at once, and none has a disk.
 #[gtest]
 #[tokio::test]
-async fn a_quarantine_outlasts_all_entries_in_the_store() {
+async fn a_quarantine_survives_the_restart_of_all_entries() {
     let kept = Arc::new(KeptList::default());
     kept.fail(1);
-    let first = Setting::keeping(4, kept.clone()).await;
-    first.have_it_refused().await;
+    let first = Fixture::with_quarantines(4, kept.clone()).await;
+    first.quarantine_harmful_request().await;
     while kept.kept().is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -245,23 +245,23 @@
     drop(first);
     let over = KeptQuarantine { digest: RequestDigest(7), until: UnixMillis(unix_now() - 1) };
     kept.change(|kept| kept.push(over)).expect("it is taken");
-    let second = Setting::keeping(3, kept.clone()).await;
+    let second = Fixture::with_quarantines(3, kept.clone()).await;
     while second.entry.state.quarantine.refused(second.entry.state.now()).is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let answer = second.ask("/stream/harmful").await.expect("an answer");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(second.ended(), eq(0));
+    expect_that!(second.ended_servers(), eq(0));
     // What is over is kept no longer.
     while kept.kept().len() > 1 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn admin(setting: &Setting, method: Method, path: &str) -> CallAnswer {
+async fn admin(fixture: &Fixture, method: Method, path: &str) -> CallAnswer {
     let request = CallRequest::get(path).sending(method, HeaderMap::new(), "".into());
     let connections = Connections::default();
-    let called = connections.call(setting.entry.admin, request, 1 << 20, Duration::from_secs(5));
+    let called = connections.call(fixture.entry.admin, request, 1 << 20, Duration::from_secs(5));
     called.await.expect("an answer")
 }
 
@@ -269,24 +269,24 @@
 #[tokio::test]
 async fn an_operator_sees_what_is_refused_and_can_lift_it() {
     let kept = Arc::new(KeptList::default());
-    let setting = Setting::keeping(6, kept.clone()).await;
-    setting.have_it_refused().await;
-    let shown = admin(&setting, Method::GET, "/quarantine").await;
+    let fixture = Fixture::with_quarantines(6, kept.clone()).await;
+    fixture.quarantine_harmful_request().await;
+    let shown = admin(&fixture, Method::GET, "/quarantine").await;
     let shown: serde_json::Value = serde_json::from_slice(&shown.body).expect("JSON");
     let digest = shown[0]["content"].as_str().expect("a digest").to_owned();
     expect_that!(shown[0]["ends"].as_u64(), some(eq(3)));
     expect_that!(shown[0]["left_s"].as_u64(), some(ge(590)));
-    let bad = admin(&setting, Method::DELETE, "/quarantine/none").await;
+    let bad = admin(&fixture, Method::DELETE, "/quarantine/none").await;
     expect_that!(bad.status, eq(StatusCode::BAD_REQUEST));
-    let lifted = admin(&setting, Method::DELETE, &format!("/quarantine/{digest}")).await;
+    let lifted = admin(&fixture, Method::DELETE, &format!("/quarantine/{digest}")).await;
     expect_that!(lifted.status, eq(StatusCode::OK));
-    let again = admin(&setting, Method::DELETE, &format!("/quarantine/{digest}")).await;
+    let again = admin(&fixture, Method::DELETE, &format!("/quarantine/{digest}")).await;
     expect_that!(again.status, eq(StatusCode::NOT_FOUND));
-    expect_that!(&admin(&setting, Method::GET, "/quarantine").await.body[..], eq(b"[]\n"));
+    expect_that!(&admin(&fixture, Method::GET, "/quarantine").await.body[..], eq(b"[]\n"));
     while !kept.kept().is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // It is tried again, and judged anew.
-    setting.have_it_refused().await;
-    expect_that!(setting.ended(), eq(6));
+    fixture.quarantine_harmful_request().await;
+    expect_that!(fixture.ended_servers(), eq(6));
 }
--- a/crates/daemon/tests/load_shedding.rs
+++ b/crates/daemon/tests/load_shedding.rs
@@ -25,13 +25,13 @@
 const REQUESTS: u64 = 40;
 
 /// An entry before one engine whose streams take one second.
-struct Setting {
+struct Fixture {
     entry: DirectEntry,
     /// Kept for as long as requests may come.
     _engine: TestServer,
 }
 
-impl Setting {
+impl Fixture {
     async fn new() -> Self {
         let figures = EngineFigures {
             slots: SLOTS,
@@ -63,7 +63,7 @@
     }
 
     /// Statuses of requests with other contents each, that come together.
-    async fn ask_together(&self) -> Vec<StatusCode> {
+    async fn ask_concurrently(&self) -> Vec<StatusCode> {
         let address = self.entry.address;
         let asking = (0..REQUESTS).map(|nth| {
             tokio::spawn(async move {
@@ -79,7 +79,7 @@
     }
 
     /// Requests of any size that have come this far.
-    fn counted(&self, step: RequestStep) -> u64 {
+    fn step_count(&self, step: RequestStep) -> u64 {
         let metrics = &self.entry.state.metrics;
         SizeClass::ALL.iter().map(|size| metrics.steps("stream", *size, step)).sum()
     }
@@ -87,31 +87,31 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_full_engine_gets_what_it_can_take_and_all_steps_are_counted() {
-    let setting = Setting::new().await;
-    let statuses = setting.ask_together().await;
+async fn a_full_engine_sheds_excess_requests_and_all_steps_are_counted() {
+    let fixture = Fixture::new().await;
+    let statuses = fixture.ask_concurrently().await;
     let served = statuses.iter().filter(|status| **status == StatusCode::OK).count() as u64;
     let refused =
         statuses.iter().filter(|status| **status == StatusCode::SERVICE_UNAVAILABLE).count() as u64;
     expect_that!(served + refused, eq(REQUESTS));
     expect_that!(served, all![ge(1), le(u64::from(SLOTS) + 2)]);
-    expect_that!(setting.counted(RequestStep::Came), eq(REQUESTS));
-    expect_that!(setting.counted(RequestStep::Admitted), eq(served));
-    expect_that!(setting.counted(RequestStep::Refused), eq(refused));
-    let answered = setting.counted(RequestStep::InTime) + setting.counted(RequestStep::Late);
+    expect_that!(fixture.step_count(RequestStep::Came), eq(REQUESTS));
+    expect_that!(fixture.step_count(RequestStep::Admitted), eq(served));
+    expect_that!(fixture.step_count(RequestStep::Refused), eq(refused));
+    let answered = fixture.step_count(RequestStep::InTime) + fixture.step_count(RequestStep::Late);
     expect_that!(answered, eq(served));
-    let text = setting.entry.state.metrics.text();
+    let text = fixture.entry.state.metrics.text();
     expect_that!(text, contains_substring("headlatch_requests_by_size_total{"));
 }
 
 #[gtest]
 #[tokio::test]
-async fn nothing_is_refused_any_more_once_the_engine_is_free() {
-    let setting = Setting::new().await;
-    setting.ask_together().await;
+async fn requests_are_admitted_again_once_the_engine_is_free() {
+    let fixture = Fixture::new().await;
+    fixture.ask_concurrently().await;
     // All streams have ended; what was refused a moment ago must not be refused on.
     for nth in 0..3 {
-        let answer = ask(setting.entry.address, &format!("/stream/later-{nth}"), "k").await;
+        let answer = ask(fixture.entry.address, &format!("/stream/later-{nth}"), "k").await;
         expect_that!(answer.expect("an answer").status, eq(StatusCode::OK), "{nth}");
     }
 }
--- a/crates/daemon/tests/rate_limits.rs
+++ b/crates/daemon/tests/rate_limits.rs
@@ -21,23 +21,23 @@
     TestStore, ask_with,
     entries::{EntryProcess, start_all_with},
     plan, record,
-    signaling::{SignalingServer, most_in_span},
+    signaling::{SignalingServer, max_in_window},
 };
 use tokio::{runtime::Runtime, time::Instant};
 
 const ENTRIES: u8 = 3;
 
 /// Numbers of entries that are taken: tests run beside each other.
-static TAKEN: AtomicU8 = AtomicU8::new(0);
+static NUMBERS_USED: AtomicU8 = AtomicU8::new(0);
 
 /// Entries before servers of one service.
-struct Setting {
+struct Fixture {
     callers: Runtime,
     entries: Vec<EntryProcess>,
     servers: Vec<SignalingServer>,
 }
 
-impl Setting {
+impl Fixture {
     fn new(servers: usize) -> Self {
         let callers = Runtime::new().expect("a runtime");
         let store = Arc::new(TestStore::default());
@@ -49,7 +49,7 @@
             store.set(FactTopic::Servers, &name, Fact::Server(record(&name, server.address, "z1")));
         }
         let headers: Arc<dyn HeaderForm> = Arc::new(PlatformHeaders);
-        let first = TAKEN.fetch_add(ENTRIES, Ordering::Relaxed) + 1;
+        let first = NUMBERS_USED.fetch_add(ENTRIES, Ordering::Relaxed) + 1;
         let numbers = first..=first + ENTRIES - 1;
         let entries = start_all_with(numbers, &store, &Arc::default(), &headers);
         Self { callers, entries, servers }
@@ -57,7 +57,7 @@
 
     /// Has callers come to all entries, each every `pause`, for `time`; the shares of requests that were
     /// served and that were refused.
-    fn press(&self, pause: Duration, time: Duration) -> (f64, f64) {
+    fn send_load(&self, pause: Duration, time: Duration) -> (f64, f64) {
         let until = Instant::now() + time;
         let callers = self.entries.iter().enumerate().map(|(number, entry)| {
             let address = entry.entry.address;
@@ -83,43 +83,43 @@
     }
 }
 
-impl Drop for Setting {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.entries.drain(..).for_each(EntryProcess::kill);
     }
 }
 
 /// Requests that a server may get in four seconds at `limit` a second.
-fn allowed(limit: f64) -> usize {
+fn max_requests(limit: f64) -> usize {
     (limit * 4.0 * 1.5) as usize + 5
 }
 
 #[gtest]
 fn limited_server_gets_no_more_than_its_limit_from_all_entries() {
-    let setting = Setting::new(2);
-    let limited = &setting.servers[0];
-    limited.say(&["server-limit: 2"]);
+    let fixture = Fixture::new(2);
+    let limited = &fixture.servers[0];
+    limited.serve_with(&["server-limit: 2"]);
     let named = Instant::now();
-    let (served, _) = setting.press(Duration::from_millis(100), Duration::from_secs(9));
+    let (served, _) = fixture.send_load(Duration::from_millis(100), Duration::from_secs(9));
     let from = named + Duration::from_secs(3);
-    let most = most_in_span(&limited.arrivals(), Duration::from_secs(4), from);
-    expect_that!(most, le(allowed(2.0)));
+    let most = max_in_window(&limited.arrivals(), Duration::from_secs(4), from);
+    expect_that!(most, le(max_requests(2.0)));
     expect_that!(most, ge(4));
     expect_that!(served, ge(0.99));
 }
 
 #[gtest]
 fn requests_beyond_all_rate_limits_are_refused_at_once_with_a_retry_after() {
-    let setting = Setting::new(1);
-    let limited = &setting.servers[0];
-    limited.say(&["server-limit: 0.5"]);
-    let (served, refused) = setting.press(Duration::from_millis(100), Duration::from_secs(6));
+    let fixture = Fixture::new(1);
+    let limited = &fixture.servers[0];
+    limited.serve_with(&["server-limit: 0.5"]);
+    let (served, refused) = fixture.send_load(Duration::from_millis(100), Duration::from_secs(6));
     expect_that!(served + refused, ge(0.99));
     expect_that!(refused, ge(0.5));
-    let address = setting.entries[0].entry.address;
+    let address = fixture.entries[0].entry.address;
     let begun = Instant::now();
     let lines = [("request-id", "last"), ("api-key", "k")];
-    let answer = setting.callers.block_on(ask_with(address, "/safe/a", &lines));
+    let answer = fixture.callers.block_on(ask_with(address, "/safe/a", &lines));
     let answer = answer.expect("an answer");
     expect_that!(begun.elapsed(), lt(Duration::from_millis(300)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
@@ -130,25 +130,25 @@
 
 #[gtest]
 fn a_lifted_rate_limit_leaves_the_server_to_all_entries() {
-    let setting = Setting::new(1);
-    let server = &setting.servers[0];
-    server.say(&["server-limit: 1"]);
-    setting.press(Duration::from_millis(100), Duration::from_secs(3));
+    let fixture = Fixture::new(1);
+    let server = &fixture.servers[0];
+    server.serve_with(&["server-limit: 1"]);
+    fixture.send_load(Duration::from_millis(100), Duration::from_secs(3));
     let before = server.arrivals().len();
-    server.say(&[]);
-    setting.press(Duration::from_millis(100), Duration::from_secs(5));
+    server.serve_with(&[]);
+    fixture.send_load(Duration::from_millis(100), Duration::from_secs(5));
     expect_that!(server.arrivals().len() - before, ge(60));
 }
 
 #[gtest]
 fn a_malformed_rate_limit_is_counted_and_replaced_by_a_low_one() {
-    let setting = Setting::new(2);
-    let limited = &setting.servers[0];
-    limited.say(&["server-limit: a few"]);
-    setting.press(Duration::from_millis(100), Duration::from_secs(4));
+    let fixture = Fixture::new(2);
+    let limited = &fixture.servers[0];
+    limited.serve_with(&["server-limit: a few"]);
+    fixture.send_load(Duration::from_millis(100), Duration::from_secs(4));
     let unreadable =
         |entry: &EntryProcess| entry.entry.state.metrics.malformed_signals("rate_limit");
-    expect_that!(setting.entries.iter().map(unreadable).sum::<u64>(), ge(1));
+    expect_that!(fixture.entries.iter().map(unreadable).sum::<u64>(), ge(1));
     let from = limited.arrivals()[0] + Duration::from_secs(2);
     let late = limited.arrivals().iter().filter(|at| **at >= from).count();
     expect_that!(late, le(6));
--- a/crates/daemon/tests/returning_servers.rs
+++ b/crates/daemon/tests/returning_servers.rs
@@ -22,7 +22,7 @@
 /// Failures of the life before kept a server out for up to 4.8 s after its return.
 #[gtest]
 #[tokio::test]
-async fn a_server_that_returns_under_its_id_is_asked_at_once() {
+async fn a_restarted_server_gets_requests_at_once() {
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
     let first = MortalServer::start(EventPace::default()).await;
--- a/crates/daemon/tests/server_signals.rs
+++ b/crates/daemon/tests/server_signals.rs
@@ -22,12 +22,12 @@
 use tokio::runtime::Runtime;
 
 /// An entry before servers of one service, all of which its store lists as ready.
-struct Setting {
+struct Fixture {
     entry: DirectEntry,
     servers: Vec<SignalingServer>,
 }
 
-impl Setting {
+impl Fixture {
     async fn new(count: usize) -> Self {
         let store = Arc::new(TestStore::default());
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
@@ -52,7 +52,7 @@
     }
 
     /// Asks so often, for all kinds of routes by turns; the answers' statuses.
-    async fn ask_often(&self, times: usize) -> Vec<StatusCode> {
+    async fn ask_repeatedly(&self, times: usize) -> Vec<StatusCode> {
         let mut statuses = Vec::new();
         for number in 0..times {
             let path = ["/safe/a", "/once/a", "/quick/a"][number % 3];
@@ -66,40 +66,40 @@
 #[gtest]
 #[tokio::test]
 async fn leaving_server_gets_no_request_while_store_is_silent() {
-    let setting = Setting::new(2).await;
-    let leaving = &setting.servers[0];
-    leaving.say(&["server-leaving: 1", "connection: close"]);
+    let fixture = Fixture::new(2).await;
+    let leaving = &fixture.servers[0];
+    leaving.serve_with(&["server-leaving: 1", "connection: close"]);
     while leaving.arrivals().is_empty() {
-        setting.ask("/safe/a").await;
+        fixture.ask("/safe/a").await;
     }
     let before = leaving.arrivals().len();
-    let statuses = setting.ask_often(60).await;
+    let statuses = fixture.ask_repeatedly(60).await;
     expect_that!(statuses, each(eq(&StatusCode::OK)));
     expect_that!(leaving.arrivals().len(), eq(before));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_malformed_drain_announcement_is_counted_and_believed() {
-    let setting = Setting::new(2).await;
-    let leaving = &setting.servers[0];
-    leaving.say(&["server-leaving: soon"]);
+async fn a_malformed_drain_announcement_is_counted_and_taken_as_draining() {
+    let fixture = Fixture::new(2).await;
+    let leaving = &fixture.servers[0];
+    leaving.serve_with(&["server-leaving: soon"]);
     while leaving.arrivals().is_empty() {
-        setting.ask("/safe/a").await;
+        fixture.ask("/safe/a").await;
     }
-    setting.ask_often(20).await;
+    fixture.ask_repeatedly(20).await;
     expect_that!(leaving.arrivals().len(), eq(1));
-    expect_that!(setting.entry.state.metrics.malformed_signals("draining"), eq(1));
+    expect_that!(fixture.entry.state.metrics.malformed_signals("draining"), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_service_whose_servers_all_drain_refuses_at_once() {
-    let setting = Setting::new(2).await;
-    setting.servers.iter().for_each(|server| server.say(&["server-leaving: 1"]));
-    setting.ask_often(4).await;
+    let fixture = Fixture::new(2).await;
+    fixture.servers.iter().for_each(|server| server.serve_with(&["server-leaving: 1"]));
+    fixture.ask_repeatedly(4).await;
     let begun = tokio::time::Instant::now();
-    let answer = setting.ask("/once/a").await;
+    let answer = fixture.ask("/once/a").await;
     expect_that!(begun.elapsed(), lt(Duration::from_millis(200)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(answer.headers.contains_key("retry-after"), eq(true));
@@ -122,7 +122,7 @@
         let asked = ask_with(entry.entry.address, "/safe/a", &lines);
         callers.block_on(asked).expect("an answer").status
     };
-    servers[0].say(&["server-leaving: 1"]);
+    servers[0].serve_with(&["server-leaving: 1"]);
     while servers[0].arrivals().is_empty() {
         ask(&entries[0]);
     }
@@ -136,17 +136,17 @@
 
 #[gtest]
 #[tokio::test]
-async fn resting_server_gets_no_request_before_the_time_it_asked_for() {
-    let setting = Setting::new(4).await;
-    let resting = &setting.servers[..3];
-    resting.iter().for_each(|server| server.refuse(&["retry-after: 1.5"]));
-    while resting.iter().any(|server| server.arrivals().is_empty()) {
-        setting.ask("/safe/a").await;
+async fn a_server_gets_no_request_before_its_retry_after() {
+    let fixture = Fixture::new(4).await;
+    let backing_off = &fixture.servers[..3];
+    backing_off.iter().for_each(|server| server.refuse_with(&["retry-after: 1.5"]));
+    while backing_off.iter().any(|server| server.arrivals().is_empty()) {
+        fixture.ask("/safe/a").await;
     }
-    let told: Vec<_> = resting.iter().map(|server| server.arrivals()).collect();
-    let statuses = setting.ask_often(60).await;
+    let told: Vec<_> = backing_off.iter().map(|server| server.arrivals()).collect();
+    let statuses = fixture.ask_repeatedly(60).await;
     expect_that!(statuses, each(eq(&StatusCode::OK)));
-    for (server, told) in resting.iter().zip(&told) {
+    for (server, told) in backing_off.iter().zip(&told) {
         let until = told[0] + Duration::from_millis(1500);
         let early = server.arrivals().iter().filter(|at| **at < until).count();
         expect_that!(early, eq(1));
@@ -156,29 +156,29 @@
 #[gtest]
 #[tokio::test]
 async fn a_service_whose_servers_all_back_off_refuses_until_the_first_is_free() {
-    let setting = Setting::new(2).await;
-    setting.servers.iter().for_each(|server| server.refuse(&["retry-after: 4"]));
-    setting.ask_often(3).await;
+    let fixture = Fixture::new(2).await;
+    fixture.servers.iter().for_each(|server| server.refuse_with(&["retry-after: 4"]));
+    fixture.ask_repeatedly(3).await;
     let begun = tokio::time::Instant::now();
-    let answer = setting.ask("/safe/a").await;
+    let answer = fixture.ask("/safe/a").await;
     expect_that!(begun.elapsed(), lt(Duration::from_millis(200)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let rest = answer.headers.get("retry-after").and_then(|value| value.to_str().ok());
     expect_that!(rest.and_then(|rest| rest.parse::<f64>().ok()), some(all![ge(3.0), le(4.0)]));
-    let arrivals = setting.servers.iter().map(|server| server.arrivals().len());
+    let arrivals = fixture.servers.iter().map(|server| server.arrivals().len());
     expect_that!(arrivals.sum::<usize>(), eq(2));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_malformed_retry_after_is_counted_and_replaced_by_some_seconds() {
-    let setting = Setting::new(2).await;
-    let resting = &setting.servers[0];
-    resting.refuse(&["retry-after: Thu, 03 Dec 2026 10:00:00 GMT"]);
-    while resting.arrivals().is_empty() {
-        setting.ask("/safe/a").await;
+async fn a_malformed_retry_after_is_counted_and_replaced_by_a_default() {
+    let fixture = Fixture::new(2).await;
+    let backing_off = &fixture.servers[0];
+    backing_off.refuse_with(&["retry-after: Thu, 03 Dec 2026 10:00:00 GMT"]);
+    while backing_off.arrivals().is_empty() {
+        fixture.ask("/safe/a").await;
     }
-    setting.ask_often(30).await;
-    expect_that!(resting.arrivals().len(), eq(1));
-    expect_that!(setting.entry.state.metrics.malformed_signals("retry_after"), eq(1));
+    fixture.ask_repeatedly(30).await;
+    expect_that!(backing_off.arrivals().len(), eq(1));
+    expect_that!(fixture.entry.state.metrics.malformed_signals("retry_after"), eq(1));
 }
--- a/crates/daemon/tests/slow_readers.rs
+++ b/crates/daemon/tests/slow_readers.rs
@@ -8,7 +8,7 @@
 use headlatch_types::quantity::ByteSize;
 use support::{
     ask,
-    long_streams::{LARGE_BYTES, Setting},
+    long_streams::{Fixture, LARGE_BYTES},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -24,37 +24,37 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_reads_nothing_is_let_go_and_its_server_told() {
-    let mut setting = Setting::new(|settings| {
+async fn a_caller_that_reads_nothing_is_disconnected_and_its_stream_is_cancelled() {
+    let mut fixture = Fixture::new(|settings| {
         settings.direct.stall = Duration::from_millis(300);
     })
     .await;
-    let _silent = setting.silent_caller("/stream/long").await;
-    let told = setting.broken.wait_for(|count| *count == 1);
+    let _silent = fixture.non_reading_caller("/stream/long").await;
+    let told = fixture.broken.wait_for(|count| *count == 1);
     let told = tokio::time::timeout(Duration::from_secs(5), told).await;
     expect_that!(told.is_ok(), eq(true));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_reads_slowly_is_not_let_go() {
-    let setting = Setting::new(|settings| {
+async fn a_caller_that_reads_slowly_is_not_disconnected() {
+    let fixture = Fixture::new(|settings| {
         settings.direct.stall = Duration::from_millis(300);
     })
     .await;
-    let mut slow = setting.silent_caller("/stream/long").await;
+    let mut slow = fixture.non_reading_caller("/stream/long").await;
     let mut piece = vec![0; 2 << 20];
     for _ in 0..12 {
         tokio::time::sleep(Duration::from_millis(100)).await;
         slow.read_exact(&mut piece).await.expect("it goes on");
     }
-    expect_that!(*setting.broken.borrow(), eq(0));
+    expect_that!(*fixture.broken.borrow(), eq(0));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn bodies_beyond_the_memory_for_them_are_refused_before_they_come() {
-    let setting = Setting::new(|settings| {
+async fn bodies_beyond_the_memory_budget_are_refused_before_they_are_read() {
+    let fixture = Fixture::new(|settings| {
         settings.direct.memory = ByteSize::from_mib(16);
     })
     .await;
@@ -62,28 +62,28 @@
     let body = vec![b'x'; 1 << 20];
     let mut begun = Vec::new();
     for _ in 0..3 {
-        begun.push(setting.begun_body(body.len()).await);
+        begun.push(fixture.send_head_of_body(body.len()).await);
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let mut refused = setting.begun_body(body.len()).await;
+    let mut refused = fixture.send_head_of_body(body.len()).await;
     expect_that!(status(&mut refused).await, eq("HTTP/1.1 503"));
     for stream in &mut begun {
         stream.write_all(&body).await.expect("it is read");
         expect_that!(status(stream).await, eq("HTTP/1.1 200"));
     }
     drop(begun);
-    let mut again = setting.begun_body(body.len()).await;
+    let mut again = fixture.send_head_of_body(body.len()).await;
     again.write_all(&body).await.expect("it is read");
     expect_that!(status(&mut again).await, eq("HTTP/1.1 200"));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_larger_than_the_memory_for_answers_comes_alone() {
-    let setting = Setting::new(|settings| {
+async fn an_answer_larger_than_the_memory_budget_is_served_alone() {
+    let fixture = Fixture::new(|settings| {
         settings.direct.memory = ByteSize::from_mib(16);
     })
     .await;
-    let answer = ask(setting.entry.address, "/safe/large", "k").await.expect("an answer");
+    let answer = ask(fixture.entry.address, "/safe/large", "k").await.expect("an answer");
     expect_that!(answer.body.len(), eq(LARGE_BYTES));
 }
--- a/crates/daemon/tests/support/long_streams.rs
+++ b/crates/daemon/tests/support/long_streams.rs
@@ -16,7 +16,7 @@
 
 use super::{
     TestHeaders, TestStore, header, plan, record,
-    server::{AnswerPlan, TestServer},
+    server::{Responder, TestServer},
     settings,
 };
 
@@ -35,7 +35,7 @@
     broken: watch::Sender<usize>,
 }
 
-impl AnswerPlan for LongStreams {
+impl Responder for LongStreams {
     async fn answer(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
         let announced = header(head, "content-length").and_then(|length| length.parse().ok());
         // A close with unread bytes would reset the connection and take the answer with it.
@@ -72,7 +72,7 @@
 
 /// An entry before a server of long streams.
 #[derive(Debug)]
-pub struct Setting {
+pub struct Fixture {
     /// The entry.
     pub entry: DirectEntry,
     /// Streams that could not be sent to their end.
@@ -80,7 +80,7 @@
     _servers: [TestServer; 2],
 }
 
-impl Setting {
+impl Fixture {
     /// An entry with changed settings before one server.
     pub async fn new(change: impl FnOnce(&mut DirectEntrySettings)) -> Self {
         let (broken, told) = watch::channel(0);
@@ -107,7 +107,7 @@
     }
 
     /// A caller that has asked and reads nothing.
-    pub async fn silent_caller(&self, path: &str) -> TcpStream {
+    pub async fn non_reading_caller(&self, path: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.entry.address).await.expect("it listens");
         let head =
             format!("GET {path} HTTP/1.1\r\nhost: a.example\r\nx-id: r1\r\nx-key: k\r\n\r\n");
@@ -116,7 +116,7 @@
     }
 
     /// A caller that has sent the head of a request with a body, and none of the body.
-    pub async fn begun_body(&self, bytes: usize) -> TcpStream {
+    pub async fn send_head_of_body(&self, bytes: usize) -> TcpStream {
         let mut stream = TcpStream::connect(self.entry.address).await.expect("it listens");
         let head = format!(
             "POST /once/x HTTP/1.1\r\nhost: a.example\r\nx-id: r1\r\nx-key: k\r\n\
--- a/crates/daemon/tests/support/mortal.rs
+++ b/crates/daemon/tests/support/mortal.rs
@@ -16,7 +16,7 @@
     task::JoinSet,
 };
 
-use super::{header, paced::EventPace, read_head, server::AnswerPlan};
+use super::{header, paced::EventPace, read_head, server::Responder};
 
 /// Time from the head of a harmful request's answer to the end of the server.
 const HARM_TIME: Duration = Duration::from_millis(30);
--- a/crates/daemon/tests/support/paced.rs
+++ b/crates/daemon/tests/support/paced.rs
@@ -4,7 +4,7 @@
 
 use tokio::{io::AsyncWriteExt, net::TcpStream, time::Instant};
 
-use super::{header, server::AnswerPlan};
+use super::{header, server::Responder};
 
 /// How a server answers.
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +29,7 @@
 }
 
 /// The server stops in the middle of a stream once the deadline that it was given has passed.
-impl AnswerPlan for EventPace {
+impl Responder for EventPace {
     async fn answer(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
         answer(stream, *self, head).await
     }
--- a/crates/daemon/tests/support/server.rs
+++ b/crates/daemon/tests/support/server.rs
@@ -13,7 +13,7 @@
 use super::read_head;
 
 /// How a server answers.
-pub trait AnswerPlan: Clone + Send + 'static {
+pub trait Responder: Clone + Send + 'static {
     /// Answers the request with this head.
     fn answer(
         &self,
@@ -25,7 +25,7 @@
 /// The whole answer to a request with this head.
 pub type Script = fn(&str) -> Vec<u8>;
 
-impl AnswerPlan for Script {
+impl Responder for Script {
     async fn answer(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
         stream.write_all(&self(head)).await
     }
@@ -41,7 +41,7 @@
 
 impl TestServer {
     /// Starts a server on a free port.
-    pub async fn start(plan: impl AnswerPlan) -> Self {
+    pub async fn start(plan: impl Responder) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         let seen = Arc::new(Mutex::new(Vec::new()));
@@ -60,7 +60,7 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, plan: impl AnswerPlan, seen: Arc<Mutex<Vec<String>>>) {
+async fn serve(mut stream: TcpStream, plan: impl Responder, seen: Arc<Mutex<Vec<String>>>) {
     let Some(head) = read_head(&mut stream).await else { return };
     seen.lock().expect("no test panics with it").push(head.clone());
     // A caller that has gone reads nothing; that is its own affair.
--- a/crates/daemon/tests/support/signaling.rs
+++ b/crates/daemon/tests/support/signaling.rs
@@ -47,12 +47,12 @@
     }
 
     /// Serves requests from now on, with these header lines in its answers.
-    pub fn say(&self, lines: &[&str]) {
+    pub fn serve_with(&self, lines: &[&str]) {
         self.set(false, lines);
     }
 
     /// Refuses requests from now on, with these header lines in its answers.
-    pub fn refuse(&self, lines: &[&str]) {
+    pub fn refuse_with(&self, lines: &[&str]) {
         self.set(true, lines);
     }
 
@@ -89,7 +89,7 @@
 }
 
 /// The most arrivals in any span of this length that begins at `from` or later.
-pub fn most_in_span(arrivals: &[Instant], span: std::time::Duration, from: Instant) -> usize {
+pub fn max_in_window(arrivals: &[Instant], span: std::time::Duration, from: Instant) -> usize {
     let within =
         |first: Instant| arrivals.iter().filter(move |at| **at >= first && **at < first + span);
     let first = arrivals.iter().filter(|at| **at >= from);
--- a/crates/daemon/tests/unknown_headers.rs
+++ b/crates/daemon/tests/unknown_headers.rs
@@ -16,7 +16,7 @@
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
     let server = SignalingServer::start().await;
-    server.say(&["server-mood: low", "content-type: text/plain", "keep-alive: timeout=5"]);
+    server.serve_with(&["server-mood: low", "content-type: text/plain", "keep-alive: timeout=5"]);
     store.set(FactTopic::Servers, "i0", Fact::Server(record("i0", server.address, "z1")));
     let entry = DirectEntry::start(settings(), store, Arc::new(PlatformHeaders)).await;
     let entry = entry.expect("it starts");
--- a/crates/daemon/tests/unread_streams.rs
+++ b/crates/daemon/tests/unread_streams.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use support::{ask, long_streams::Setting};
+use support::{ask, long_streams::Fixture};
 use tokio::time::Instant;
 
 /// Memory of this process, in MiB.
@@ -18,16 +18,16 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_that_do_not_read_take_little_memory_and_delay_nobody() {
-    let setting = Setting::new(|_| {}).await;
+    let fixture = Fixture::new(|_| {}).await;
     let before = resident_mib();
     let mut callers = Vec::new();
     for _ in 0..60 {
-        callers.push(setting.silent_caller("/stream/long").await);
+        callers.push(fixture.non_reading_caller("/stream/long").await);
     }
     tokio::time::sleep(Duration::from_millis(800)).await;
     let begun = Instant::now();
     for _ in 0..20 {
-        let answer = ask(setting.entry.address, "/safe/x", "k").await.expect("an answer");
+        let answer = ask(fixture.entry.address, "/safe/x", "k").await.expect("an answer");
         expect_that!(&answer.body[..], eq(b"whole"));
     }
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
