--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -186,8 +186,8 @@
         let Self { topic, refresh, gate, apply } = self;
         keep_running(topic.as_str(), move || {
             let state = state.clone();
-            follow(store.clone(), topic, refresh.clone(), gate.clone(), move |news| {
-                apply(&state, news);
+            follow(store.clone(), topic, refresh.clone(), gate.clone(), move |update| {
+                apply(&state, update);
             })
         })
     }
--- a/crates/daemon/src/direct/front.rs
+++ b/crates/daemon/src/direct/front.rs
@@ -89,9 +89,9 @@
     let answer = Arc::new(answer);
     loop {
         let stream = accept(&listener).await;
-        let asked = answer.clone();
+        let respond = answer.clone();
         let service = service_fn(move |request: Request<Incoming>| {
-            let answer = asked(request.method(), request.uri().path());
+            let answer = respond(request.method(), request.uri().path());
             async move { Ok::<_, Infallible>(answer) }
         });
         let connection = http1::Builder::new()
--- a/crates/daemon/src/direct/quarantine.rs
+++ b/crates/daemon/src/direct/quarantine.rs
@@ -134,12 +134,12 @@
     /// Waits for the next writes to the store.
     pub async fn next_writes(&self) -> Vec<QuarantineWrite> {
         loop {
-            let news = self.writes_pending.notified();
+            let notified = self.writes_pending.notified();
             let writes = std::mem::take(&mut *self.pending_writes());
             if !writes.is_empty() {
                 return writes;
             }
-            news.await;
+            notified.await;
         }
     }
 
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -326,8 +326,8 @@
     }
 
     /// Applies a plan update from the store.
-    pub fn apply_plan_update(&self, news: FactNews) {
-        for fact in set_facts(news) {
+    pub fn apply_plan_update(&self, update: FactNews) {
+        for fact in set_facts(update) {
             if let Fact::Plan(plan) = fact {
                 self.apply_plan(*plan, "store");
             }
@@ -336,9 +336,9 @@
     }
 
     /// Applies an update of the wanted weight versions from the store.
-    pub fn apply_weights_update(&self, news: FactNews) {
+    pub fn apply_weights_update(&self, update: FactNews) {
         let now = self.now();
-        for fact in set_facts(news) {
+        for fact in set_facts(update) {
             let Fact::Weights(wanted) = fact else { continue };
             if self.weights().learn(now, &wanted.model, wanted.version) {
                 let fields = json!({ "model": wanted.model, "version": wanted.version });
@@ -458,9 +458,9 @@
         }
         drop(known);
         let names: Vec<String> = silent.iter().map(DomainKey::to_string).collect();
-        let news = servers.set_silent_domains(silent);
+        let changed = servers.set_silent_domains(silent);
         drop(servers);
-        if news {
+        if changed {
             decisions::note("peers", "domains_out_of_reach", json!({ "domains": names }));
         }
         for peer in &gone {
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -15,9 +15,9 @@
     }
 
     /// Applies an update of the evacuations from the store.
-    pub fn apply_evacuations_update(&self, news: FactNews) {
-        let mark = news.covered();
-        let (base, facts) = match news {
+    pub fn apply_evacuations_update(&self, update: FactNews) {
+        let mark = update.covered();
+        let (base, facts) = match update {
             FactNews::All(list) => {
                 (EvacuatedDomains::default(), list.facts.into_iter().map(FactChange::Set).collect())
             }
@@ -44,13 +44,17 @@
         self.merge_evacuated(&base.with_changes(mark, changes));
     }
 
-    /// Replaces the evacuated failure domains if `told` is newer.
-    pub fn merge_evacuated(&self, told: &EvacuatedDomains) {
-        if !lock(&self.evacuated).take(told) {
+    /// Replaces the evacuated failure domains if `reported` is newer.
+    pub fn merge_evacuated(&self, reported: &EvacuatedDomains) {
+        if !lock(&self.evacuated).take(reported) {
             return;
         }
-        let names: Vec<String> = told.domains.iter().map(DomainKey::to_string).collect();
-        decisions::note("evacuations", "in_force", json!({ "domains": names, "at": told.mark.0 }));
-        self.servers().set_evacuated_domains(told.domains.clone());
+        let names: Vec<String> = reported.domains.iter().map(DomainKey::to_string).collect();
+        decisions::note(
+            "evacuations",
+            "in_force",
+            json!({ "domains": names, "at": reported.mark.0 }),
+        );
+        self.servers().set_evacuated_domains(reported.domains.clone());
     }
 }
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -24,17 +24,17 @@
 
 /// Converts an update from the store to server changes; records that can't be parsed are logged and
 /// left out.
-fn server_changes(news: FactNews, newest: ChangeMark) -> ServerChanges {
-    let covered = news.covered();
-    let (whole, facts) = match news {
+fn server_changes(update: FactNews, newest: ChangeMark) -> ServerChanges {
+    let covered = update.covered();
+    let (whole, facts) = match update {
         FactNews::All(list) => (true, list.facts.into_iter().map(FactChange::Set).collect()),
         FactNews::Changes(changes) => (false, changes.changes),
     };
-    let mut told = ServerChanges { covered, newest, whole, ..ServerChanges::default() };
+    let mut converted = ServerChanges { covered, newest, whole, ..ServerChanges::default() };
     for fact in facts {
         match fact {
             FactChange::Set(NamedFact { revision, fact: Ok(Fact::Server(record)), .. }) => {
-                told.set.push(MarkedRecord { revision: ChangeMark(revision.0), record });
+                converted.set.push(MarkedRecord { revision: ChangeMark(revision.0), record });
             }
             FactChange::Set(NamedFact { fact: Ok(_), .. }) => {}
             FactChange::Set(NamedFact { name, revision, fact: Err(error) }) => {
@@ -43,23 +43,23 @@
                 // The previous record of the server is no longer valid either.
                 if !name.is_empty() {
                     let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                    told.gone.push(GoneServer { revision, id });
+                    converted.gone.push(GoneServer { revision, id });
                 }
             }
             FactChange::Gone { name, revision } => {
                 let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                told.gone.push(GoneServer { revision, id });
+                converted.gone.push(GoneServer { revision, id });
             }
         }
     }
-    told
+    converted
 }
 
 impl EntryState {
     /// Applies an update of the list of servers from the store.
-    pub fn apply_servers_update(&self, news: FactNews) {
-        let (covered, newest) = (news.covered(), news.newest());
-        self.apply_servers(server_changes(news, newest));
+    pub fn apply_servers_update(&self, update: FactNews) {
+        let (covered, newest) = (update.covered(), update.newest());
+        self.apply_servers(server_changes(update, newest));
         lock(&self.servers_age).confirm_from_store(self.now(), covered, newest);
     }
 
