--- a/crates/daemon/tests/begun_answers.rs
+++ b/crates/daemon/tests/begun_answers.rs
@@ -1,20 +1,13 @@
-//! Callers lost the rest of streams that had begun well, many at one entry in the same moment, while
-//! new weights were on their way and every server lived.
+//! Guards against streams that are cut off midway although every server is alive.
 //!
-//! While newer weights are wanted, an entry gave servers with older ones less time than the request
-//! had: what is left until the older ones may not be worked with any more. The server stopped there
-//! in the middle of the stream. Nobody had newer weights yet, or the second of two attempts was the
-//! one that was stopped, so that the entry could only close the caller's connection. On a day with
-//! three versions in one second and no disturbance 50 streams ended within 0.2 s of each other, 7.7 s
-//! after the first naming; two of them:
-//!
-//! ```text
-//! stream_cut held_ms 2443, cause no_server, served_ms 2293, given_ms 2417, given_by weights, events 43
-//! stream_cut held_ms 2433, cause no_server, served_ms 2269, given_ms 2425, given_by weights, events 43
-//! ```
-//!
-//! The servers had served as long as they had been given, and would have gone on: it was our limit
-//! that ended the answers.
+//! While newer weights were wanted, an entry gave servers with older weights less time than the
+//! request had left: only the time for which the older weights could still be used. The server
+//! stopped at that limit in the middle of the stream. If no server had the newer weights yet, or
+//! the stopped attempt was the second of two, the entry could only close the caller's connection.
+//! With three versions published within one second and no other disturbance, 50 streams ended
+//! within 0.2 s of each other, 7.7 s after the first version. The servers had used up the time they
+//! were given (`served_ms` 2293 of `given_ms` 2417, `given_by` weights, `cause` no_server, `events`
+//! 43) and could have continued.
 
 mod support;
 
@@ -34,7 +27,7 @@
 
 const MODEL: &str = "m";
 
-/// Time in which all servers change to new weights.
+/// Time in which all servers switch to new weights.
 const WEIGHTS_TIME: Duration = Duration::from_millis(2000);
 
 fn engine_plan() -> TrafficPlan {
@@ -43,7 +36,7 @@
         step_ms: 7.0,
         stride: 7,
         read_per_second: 30_000.0,
-        models: vec![MODEL.parse().expect("a name")],
+        models: vec![MODEL.parse().expect("valid name")],
         ..EngineFigures::default()
     };
     let service = ServicePlan { engine: Some(engine), ..ServicePlan::default() };
@@ -51,12 +44,12 @@
 }
 
 fn engine(name: &str, server: &TestServer, zone: &str, version: u64) -> ServerRecord {
-    let model = MODEL.parse().expect("a name");
+    let model = MODEL.parse().expect("valid name");
     let held = HeldModel { model, version: WeightVersion(version), layers: Vec::new() };
     ServerRecord { models: vec![held], ..record(name, server.address, zone) }
 }
 
-/// An entry before two engines.
+/// An entry in front of two engines.
 struct Fixture {
     entry: DirectEntry,
     store: Arc<TestStore>,
@@ -78,25 +71,25 @@
         let mut settings = settings();
         settings.direct.weights_time = WEIGHTS_TIME;
         let entry = DirectEntry::start(settings, store.clone(), Arc::new(TestHeaders)).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Self { entry, store, first, second }
     }
 
-    /// Names a version of the weights and waits until the entry has heard of it.
+    /// Publishes a version of the weights and waits until the entry knows of it.
     async fn publish_version(&self, version: u64) {
-        let model = MODEL.parse().expect("a name");
+        let model = MODEL.parse().expect("valid name");
         let wanted = WantedWeights { model, version: WeightVersion(version) };
         self.store.set(FactTopic::Weights, MODEL, Fact::Weights(wanted));
-        let model = MODEL.parse().expect("a name");
+        let model = MODEL.parse().expect("valid name");
         while self.entry.state.weights().newest(&model) != Some(WeightVersion(version)) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Ids of the events that a caller gets, and whether the answer was whole.
+    /// Event ids that a caller receives, and whether the response was complete.
     async fn stream(&self) -> (Vec<u64>, bool) {
         let lines = [("x-key", "k"), ("x-model", MODEL), ("x-tokens", "140")];
         let answer = ask_with(self.entry.address, "/stream/x", &lines).await;
@@ -111,8 +104,8 @@
     ((1..=20).collect(), true)
 }
 
-/// The stream begins 1.2 s after newer weights were named and takes one second; what is left for
-/// servers with older weights is 0.4 s by then, and no server has newer ones.
+/// The stream begins 1.2 s after newer weights were published and takes 1 s. By then servers with
+/// older weights have only 0.4 s left, and no server has newer ones.
 #[gtest]
 #[tokio::test]
 async fn a_stream_that_began_on_older_weights_is_served_to_its_end() {
@@ -122,10 +115,11 @@
     tokio::time::sleep(Duration::from_millis(1200)).await;
     expect_that!(fixture.stream().await, eq(&complete_stream()));
     let sends = fixture.first.seen().len() + fixture.second.seen().len();
-    expect_that!(sends, eq(1), "nobody else can go on with it");
+    expect_that!(sends, eq(1), "no other server can continue the stream");
 }
 
-/// Asks for a stream and, once it has begun, lets the server's agent say that it is about to change.
+/// Starts a stream, lets the server's agent announce a change, and returns how many streams the
+/// entry reports as kept there.
 async fn kept_streams_reported(plan: TrafficPlan) -> u32 {
     let pace = EventPace { gap: Duration::from_millis(100), ..EventPace::default() };
     let fixture = Arc::new(Fixture::with_plan(plan, pace, pace).await);
@@ -133,13 +127,13 @@
     let stream = tokio::spawn(async move { asking.stream().await });
     tokio::time::sleep(Duration::from_millis(400)).await;
     let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
-    expect_that!(stream.await.expect("it ends"), eq(&complete_stream()));
+    expect_that!(stream.await.expect("stream task ends"), eq(&complete_stream()));
     drains.iter().map(|drain| drain.kept).sum()
 }
 
-/// Nothing more than what an entry says keeps a server's agent from an order that cuts what runs: on
-/// a calm day with two versions 117 streams of 178 lost had another attempt, but nobody had room, and
-/// 37 had none left.
+/// Only the report of an entry keeps an agent from a switch that cuts off running streams. Of 178
+/// streams lost with two versions and no disturbance, 117 had an attempt left but no server with
+/// room, and 37 had no attempt left.
 #[gtest]
 #[tokio::test]
 async fn an_entry_tells_a_changing_server_which_streams_nobody_could_go_on_with() {
@@ -149,7 +143,8 @@
     expect_that!(kept_streams_reported(plan).await, eq(1));
 }
 
-/// A plan whose streams wait 0.8 s for an event and 1.2 s for the head before another server is asked.
+/// A plan whose streams wait 0.8 s for an event and 1.2 s for the response head before another
+/// server is asked.
 fn short_timeout_plan() -> TrafficPlan {
     let mut plan = engine_plan();
     for route in &mut plan.routes {
@@ -164,8 +159,8 @@
     EventPace { pause: Some((3, Duration::from_millis(1500))), ..EventPace::default() }
 }
 
-/// An entry let go of a server that had said nothing for 0.8 s, and asked only then whether anybody
-/// else might go on.
+/// An entry dropped a server that had been silent for 0.8 s before it asked whether another server
+/// could continue the stream.
 #[gtest]
 #[tokio::test]
 async fn a_pause_does_not_cut_a_stream_if_the_second_server_refuses_or_is_silent() {
@@ -192,7 +187,8 @@
     }
 }
 
-/// Whoever brings the next event first goes on; a server that is silent for good ends nothing.
+/// The first server to send the next event continues the stream; one that stays silent must not end
+/// it.
 #[gtest]
 #[tokio::test]
 async fn a_stream_goes_on_elsewhere_when_its_server_is_silent_for_good() {
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -1,5 +1,5 @@
-//! A direct entry between callers and scripted servers: what is passed on, what is sent again, and
-//! what is never passed off as whole.
+//! An entry between callers and scripted servers: which requests are forwarded and retried, and
+//! that incomplete answers are never forwarded as complete.
 
 mod support;
 
@@ -122,7 +122,7 @@
         store.set(FactTopic::Servers, "i1", Fact::Server(one));
         store.set(FactTopic::Servers, "i2", Fact::Server(two));
         let entry = DirectEntry::start(settings(), store.clone(), Arc::new(TestHeaders)).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -138,7 +138,7 @@
 #[tokio::test]
 async fn a_complete_answer_is_forwarded_and_the_key_is_not_sent_to_the_server() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    let answer = fixture.ask("/safe/x?y=1", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x?y=1", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(&answer.body[..], eq(b"whole"));
     let seen = fixture.first.seen();
@@ -153,14 +153,14 @@
 #[tokio::test]
 async fn unknown_routes_and_keys_are_denied_but_only_refused_without_a_plan() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    let denied = fixture.ask("/other/x", "k").await.expect("an answer");
+    let denied = fixture.ask("/other/x", "k").await.expect("response");
     expect_that!(denied.status, eq(StatusCode::NOT_FOUND));
-    let denied = fixture.ask("/safe/x", "wrong").await.expect("an answer");
+    let denied = fixture.ask("/safe/x", "wrong").await.expect("response");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
     let store = Arc::new(TestStore::default());
     let ignorant = DirectEntry::start(settings(), store, Arc::new(TestHeaders)).await;
-    let ignorant = ignorant.expect("it starts");
-    let refused = ask(ignorant.address, "/other/x", "wrong").await.expect("an answer");
+    let ignorant = ignorant.expect("entry starts");
+    let refused = ask(ignorant.address, "/other/x", "wrong").await.expect("response");
     expect_that!(refused.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(refused.headers.contains_key("retry-after"), eq(true));
 }
@@ -170,7 +170,7 @@
 async fn a_refused_request_is_retried_on_another_server() {
     let fixture = Fixture::new(refuse, any_answer).await;
     for path in ["/safe/x", "/once/x", "/stream/x"] {
-        let answer = fixture.ask(path, "k").await.expect("an answer");
+        let answer = fixture.ask(path, "k").await.expect("response");
         expect_that!(answer.status, eq(StatusCode::OK), "{path}");
         tokio::time::sleep(Duration::from_millis(400)).await;
     }
@@ -180,11 +180,11 @@
 #[tokio::test]
 async fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     let fixture = Fixture::new(no_answer, complete_answer).await;
-    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/once/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
     expect_that!(fixture.second.seen(), is_empty());
     let fixture = Fixture::new(no_answer, complete_answer).await;
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(fixture.second.seen().len(), eq(1));
 }
@@ -193,10 +193,10 @@
 #[tokio::test]
 async fn a_truncated_answer_is_never_forwarded_as_complete() {
     let fixture = Fixture::new(truncated_answer, complete_answer).await;
-    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/once/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
     let fixture = Fixture::new(truncated_answer, complete_answer).await;
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(&answer.body[..], eq(b"whole"));
 }
 
@@ -204,7 +204,7 @@
 #[tokio::test]
 async fn an_answer_to_another_request_is_not_forwarded() {
     let fixture = Fixture::new(answer_with_other_id, complete_answer).await;
-    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/once/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::BAD_GATEWAY));
     expect_that!(&answer.body[..], not(eq(b"not yours")));
 }
@@ -213,10 +213,10 @@
 #[tokio::test]
 async fn a_failed_request_is_retried_if_repeatable() {
     let fixture = Fixture::new(server_error, complete_answer).await;
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     let fixture = Fixture::new(server_error, complete_answer).await;
-    let answer = fixture.ask("/once/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/once/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::INTERNAL_SERVER_ERROR));
     expect_that!(&answer.body[..], eq(b"broken"));
 }
@@ -225,7 +225,7 @@
 #[tokio::test]
 async fn a_stream_that_stops_is_continued_without_a_piece_lost_or_repeated() {
     let fixture = Fixture::new(cut_in_third_event, five_events).await;
-    let answer = fixture.ask("/stream/x", "k").await.expect("a whole stream");
+    let answer = fixture.ask("/stream/x", "k").await.expect("complete stream");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let pieces: Vec<&str> = text.lines().filter(|line| line.starts_with("data")).collect();
     let wanted =
@@ -253,7 +253,7 @@
     fixture.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(older)));
     tokio::time::sleep(Duration::from_millis(300)).await;
     expect_that!(fixture.entry.state.plan_version(), eq(PlanVersion(5)));
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
 }
 
@@ -268,7 +268,7 @@
     while !is_draining() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    fixture.ask("/safe/x", "k").await.expect("an answer");
+    fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(fixture.first.seen(), is_empty());
     expect_that!(fixture.second.seen().len(), eq(1));
 }
@@ -278,18 +278,18 @@
 async fn a_body_longer_than_the_plan_allows_is_refused() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
     let mut headers = HeaderMap::new();
-    headers.insert("x-id", "r1".parse().expect("a value"));
-    headers.insert("x-key", "k".parse().expect("a value"));
-    headers.insert("host", "a.example".parse().expect("a value"));
+    headers.insert("x-id", "r1".parse().expect("valid header value"));
+    headers.insert("x-key", "k".parse().expect("valid header value"));
+    headers.insert("host", "a.example".parse().expect("valid header value"));
     let connections = Connections::default();
     let choice = headlatch_http::ConnectionChoice::Fresh;
     let (mut held, _) = connections
         .get(fixture.entry.address, choice, Duration::from_secs(5))
         .await
-        .expect("it connects");
+        .expect("connection to the entry");
     let body = Bytes::from(vec![b'x'; 2000]);
-    let uri = "/safe/x".parse().expect("a path");
-    let answer = held.send(Method::POST, uri, headers, body).await.expect("an answer");
+    let uri = "/safe/x".parse().expect("valid path");
+    let answer = held.send(Method::POST, uri, headers, body).await.expect("response");
     expect_that!(answer.status(), eq(StatusCode::PAYLOAD_TOO_LARGE));
 }
 
@@ -298,7 +298,7 @@
 async fn a_watch_that_broke_off_is_not_taken_up_where_it_was() {
     let forgetful = TestStore { forgetful: true, ..TestStore::default() };
     let fixture = Fixture::with_store(complete_answer, complete_answer, forgetful).await;
-    // Give the watches time to begin; one that begins later lists the newer plan anyway.
+    // Give the watches time to start; one that starts later lists the newer plan anyway.
     tokio::time::sleep(Duration::from_millis(50)).await;
     fixture.store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(6))));
     while fixture.entry.state.plan_version() != PlanVersion(6) {
@@ -310,7 +310,7 @@
 #[tokio::test]
 async fn an_entry_that_is_behind_its_peers_reads_the_plan_anew() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    // The watch is silent: the store changes without a word.
+    // The store changes without notifying the watch.
     let newer = NamedFact {
         name: "main".to_owned(),
         revision: StoreRevision(2),
@@ -335,47 +335,47 @@
 async fn a_request_is_not_denied_on_a_plan_that_others_know_to_be_old() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
     let state = fixture.entry.state.clone();
-    // Nobody is behind: the denial stands.
-    let denied = fixture.ask("/safe/x", "new").await.expect("an answer");
+    // This entry is up to date: the denial stands.
+    let denied = fixture.ask("/safe/x", "new").await.expect("response");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
     state.record_peer_plan_version(PlanVersion(6));
-    // The newer plan does not come in time: the caller is sent to another entry.
-    let refused = fixture.ask("/safe/x", "new").await.expect("an answer");
+    // The newer plan does not arrive in time: the caller is sent to another entry.
+    let refused = fixture.ask("/safe/x", "new").await.expect("response");
     expect_that!(refused.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(refused.headers.contains_key("retry-after"), eq(true));
-    expect_that!(fixture.ask("/safe/x", "k").await.expect("an answer").status, eq(StatusCode::OK));
-    // Once it is here it decides.
+    expect_that!(fixture.ask("/safe/x", "k").await.expect("response").status, eq(StatusCode::OK));
+    // Once the plan has arrived it decides.
     state.apply_plan(plan_with_key(6, "new"), "peer");
-    let served = fixture.ask("/safe/x", "new").await.expect("an answer");
+    let served = fixture.ask("/safe/x", "new").await.expect("response");
     expect_that!(served.status, eq(StatusCode::OK));
-    let denied = fixture.ask("/safe/x", "newer").await.expect("an answer");
+    let denied = fixture.ask("/safe/x", "newer").await.expect("response");
     expect_that!(denied.status, eq(StatusCode::UNAUTHORIZED));
 }
 
-/// A narrow link brings a large plan in small parts: as long as they come it is waited for, since
-/// all of them would have to come again.
+/// A narrow link delivers a large plan in small parts. Aborting the transfer while parts still
+/// arrive would mean that all of them have to be sent again.
 #[gtest]
 #[tokio::test]
 async fn a_slow_plan_transfer_is_not_aborted() {
-    let text = serde_json::to_vec(&plan(7)).expect("a plan can be written");
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let text = serde_json::to_vec(&plan(7)).expect("plan serializes");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("listener is bound");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("somebody calls");
+        let (mut stream, _) = listener.accept().await.expect("incoming connection");
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", text.len());
-        stream.write_all(head.as_bytes()).await.expect("the caller reads");
-        // Four seconds altogether, never silent for long.
+        stream.write_all(head.as_bytes()).await.expect("caller reads the response");
+        // Takes 4 s in total, without a long pause.
         for part in text.chunks(text.len().div_ceil(100)) {
             tokio::time::sleep(Duration::from_millis(40)).await;
-            stream.write_all(part).await.expect("the caller reads");
+            stream.write_all(part).await.expect("caller reads the response");
         }
     });
     let fetched = plan_sync::fetch(&Connections::default(), address).await;
     expect_that!(fetched.map(|plan| plan.version), ok(eq(&PlanVersion(7))));
 }
 
-/// The watch of servers is silent, and others have taken in a change: within drain times of two
-/// seconds the entry must have it as well.
+/// The watch of servers misses a change that other entries have applied. Drain times are 2 s, so
+/// this entry must have the change within that time.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_has_missed_a_change_of_servers_reads_them_anew() {
@@ -395,8 +395,8 @@
     expect_that!(leaving, eq(true));
 }
 
-/// Another writer has left something in a server's place that nobody can read: the last good record of
-/// that name says nothing any more, and goes until there is a good one again.
+/// Another writer leaves an unparsable record for a server. The last good record is no longer
+/// valid, so the server gets no requests until there is a good record again.
 #[gtest]
 #[tokio::test]
 async fn a_server_with_an_unreadable_record_gets_no_requests() {
@@ -415,11 +415,11 @@
     expect_that!(knows(), eq(true));
     state.apply_servers_update(changes(unreadable(5)));
     expect_that!(knows(), eq(false));
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(fixture.first.seen(), is_empty());
-    // Other entries hear of it like of a server that has left.
-    let told = state.server_changes(ChangeMark(1)).expect("it has a list");
+    // Other entries are told that the server is gone.
+    let told = state.server_changes(ChangeMark(1)).expect("list of servers");
     expect_that!(told.gone.iter().any(|gone| &*gone.id.0 == "i1"), eq(true));
     let record = Fact::Server(record("i1", fixture.first.address, "z1"));
     let good = NamedFact { fact: Ok(record), ..unreadable(7) };
@@ -436,8 +436,8 @@
     let drain = DrainNotice { server: fixture.first.address, waiting: 0, kept: 0 };
     let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
     expect_that!(drains, eq(&vec![drain]));
-    // Nothing is sent there any more.
-    let answer = fixture.ask("/safe/x", "k").await.expect("an answer");
+    // The draining server gets no more requests.
+    let answer = fixture.ask("/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(fixture.first.seen(), is_empty());
 }
@@ -446,23 +446,23 @@
 #[tokio::test]
 async fn a_plan_is_fetched_completely_from_another_entry() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("listener is bound");
     tokio::spawn(plan_sync::serve(fixture.entry.state.clone(), listener));
     let connections = Connections::default();
-    let fetched = plan_sync::fetch(&connections, address).await.expect("a plan");
-    let routes = fixture.entry.state.routes().expect("a plan");
+    let fetched = plan_sync::fetch(&connections, address).await.expect("plan");
+    let routes = fixture.entry.state.routes().expect("plan");
     expect_that!(fetched == **routes.plan(), eq(true));
-    // Nobody listens there: the error names the place.
-    let nowhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = nowhere.local_addr().expect("it is bound");
+    // Nothing listens at the address: the error names it.
+    let nowhere = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = nowhere.local_addr().expect("listener is bound");
     drop(nowhere);
-    let error = plan_sync::fetch(&connections, address).await.expect_err("nobody is there");
+    let error = plan_sync::fetch(&connections, address).await.expect_err("nothing listens");
     expect_that!(error, starts_with(address.to_string()));
 }
 
-/// What is taken long after a stop was asked for cannot be brought to an end within the grace: a
-/// stream may take six seconds, and the grace has eight.
+/// A request accepted long after a shutdown request can't complete within the grace period: a
+/// stream may take 6 s, and the grace period is 8 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_stopping_entry_takes_nothing_new_once_callers_have_been_sent_elsewhere() {
@@ -470,18 +470,18 @@
     settings.node.drain = Duration::from_secs(8);
     let store = Arc::new(TestStore::default());
     let entry = DirectEntry::start(settings, store, Arc::new(TestHeaders)).await;
-    let entry = entry.expect("it starts");
+    let entry = entry.expect("entry starts");
     let address = entry.address;
     let leaving = tokio::spawn(entry.leave());
     tokio::time::sleep(Duration::from_millis(2400)).await;
-    // The balancer asks each second, and sends callers elsewhere after two bad answers.
+    // The load balancer probes once per second and redirects callers after two failed probes.
     expect_that!(TcpStream::connect(address).await.is_ok(), eq(true));
     tokio::time::sleep(Duration::from_millis(550)).await;
     expect_that!(TcpStream::connect(address).await.is_err(), eq(true));
     leaving.abort();
 }
 
-/// A store that says nothing.
+/// A store that never responds.
 #[derive(Debug)]
 struct SilentStore;
 
@@ -506,35 +506,35 @@
     }
 }
 
-/// Two entries of a failure domain read the list of servers; the others are as good with what those
-/// hand over.
+/// Two entries of a failure domain read the list of servers; the others must be able to serve with
+/// what those send them.
 #[gtest]
 #[tokio::test]
 async fn an_entry_serves_with_plan_and_servers_from_another_entry() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
     let other = DirectEntry::start(settings(), Arc::new(SilentStore), Arc::new(TestHeaders)).await;
-    let other = other.expect("it starts");
+    let other = other.expect("entry starts");
     other.state.apply_plan(plan(5), "peer");
-    let changes = fixture.entry.state.server_changes(ChangeMark(0)).expect("it has a list");
+    let changes = fixture.entry.state.server_changes(ChangeMark(0)).expect("list of servers");
     expect_that!(changes.whole, eq(true));
     other.state.merge_server_changes(changes.clone());
     expect_that!(other.state.is_ready(), eq(true));
-    let answer = ask(other.address, "/safe/x", "k").await.expect("an answer");
+    let answer = ask(other.address, "/safe/x", "k").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
-    // What it has is what it tells, and hands on.
+    // The entry announces and forwards what it has received.
     expect_that!(other.state.newest_servers(), eq(changes.newest));
-    let handed = other.state.server_changes(ChangeMark(0)).expect("it has a list");
+    let handed = other.state.server_changes(ChangeMark(0)).expect("list of servers");
     expect_that!(handed.set.len(), eq(changes.set.len()));
 }
 
-/// Connections to all servers go silent for good at once: the sending after the one that showed it
-/// must not be lost on another of them.
+/// All pooled connections to all servers go dead at once. The attempt after the one that timed out
+/// must not be lost on another dead connection.
 #[gtest]
 #[tokio::test]
 async fn a_retry_after_a_timeout_uses_a_new_connection() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    let first = HalfDeafServer::start(complete_answer).await.expect("a port is free");
-    let second = HalfDeafServer::start(complete_answer).await.expect("a port is free");
+    let first = HalfDeafServer::start(complete_answer).await.expect("free port");
+    let second = HalfDeafServer::start(complete_answer).await.expect("free port");
     for (name, server, zone) in [("i1", &first, "z1"), ("i2", &second, "z2")] {
         let fact = Fact::Server(record(name, server.address, zone));
         fixture.store.set(FactTopic::Servers, name, fact);
@@ -546,7 +546,7 @@
     first.silence_connections();
     second.silence_connections();
     for _ in 0..3 {
-        let answer = fixture.ask("/quick/x", "k").await.expect("an answer");
+        let answer = fixture.ask("/quick/x", "k").await.expect("response");
         expect_that!(answer.status, eq(StatusCode::OK));
         expect_that!(&answer.body[..], eq(b"whole"));
     }
--- a/crates/daemon/tests/harmful_entries.rs
+++ b/crates/daemon/tests/harmful_entries.rs
@@ -1,5 +1,6 @@
-//! Several entries, each with a runtime and sockets of its own, before servers that a harmful request
-//! ends: what one of them has seen all of them must know, also after all have been killed.
+//! Several entries, each with its own runtime and sockets, in front of servers that a harmful
+//! request crashes. What one entry observes must reach all of them, and must survive the loss of
+//! all of them.
 
 mod support;
 
@@ -20,7 +21,7 @@
 
 #[gtest]
 fn entries_share_quarantines_and_restore_them_after_all_were_killed() {
-    let callers = Runtime::new().expect("a runtime");
+    let callers = Runtime::new().expect("runtime");
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
     let mut servers = Vec::new();
@@ -39,24 +40,24 @@
     let entries = start_all(3, &store, &kept);
     for coming in 0..9 {
         let _ = ask(&entries[coming % 3], "/stream/harmful");
-        // As long as a caller waits before the next one, and longer than two notices.
+        // As long as a caller waits before the next request, and longer than two notice intervals.
         std::thread::sleep(Duration::from_millis(300));
     }
     expect_that!(ended(), le(3));
     for (number, entry) in entries.iter().enumerate() {
-        let answer = ask(entry, "/stream/harmful").expect("an answer");
+        let answer = ask(entry, "/stream/harmful").expect("response");
         expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE), "entry {number}");
-        let sound = ask(entry, &format!("/stream/sound{number}")).expect("an answer");
+        let sound = ask(entry, &format!("/stream/sound{number}")).expect("response");
         expect_that!(sound.status, eq(StatusCode::OK), "entry {number}");
     }
     expect_that!(kept.kept().len(), ge(1));
     entries.into_iter().for_each(EntryProcess::kill);
     let before = ended();
     let entries = start_all(3, &store, &kept);
-    // Within the three seconds in which an entry that has just started is not held to it.
+    // Within the 3 s after a start in which an entry is not yet required to know it.
     std::thread::sleep(Duration::from_millis(1500));
     for (number, entry) in entries.iter().enumerate() {
-        let answer = ask(entry, "/stream/harmful").expect("an answer");
+        let answer = ask(entry, "/stream/harmful").expect("response");
         expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE), "entry {number}, again");
     }
     expect_that!(ended(), eq(before));
--- a/crates/daemon/tests/harmful_requests.rs
+++ b/crates/daemon/tests/harmful_requests.rs
@@ -1,20 +1,13 @@
-//! One caller's request ended every server that began to run it, for forty seconds, and callers of
-//! sound requests lost their answers with the servers.
+//! Guards against one caller's request that crashes every server that starts to run it, so that
+//! callers of harmless requests lose their answers too.
 //!
-//! Attempts and retries were counted by request and by entry. The same content came again under a new
-//! id, at any entry, and started from nothing: it was sent to a server, which ended, then the stream
-//! was continued at a second one, which ended as well. Servers were back some seconds later and were
-//! chosen again. On one day 55 servers ended under one content; four steps of one coming of it, and
-//! what others met:
-//!
-//! ```text
-//! stream_stopped  attempt 1, end Broken, events 0, served_ms 102
-//! server_chosen   attempt 1
-//! stream_stopped  attempt 2, end Broken, events 0, served_ms 110
-//! stream_cut      cause attempts_used
-//! attempt_failed  not_connected: Connection refused
-//! given_up        cause servers_full
-//! ```
+//! Attempts and retries were counted per request and per entry. The same content arrived again
+//! under a new id, at any entry, and started with a full set of attempts: it crashed one server,
+//! the stream was continued on a second one, and that crashed as well. Servers were back some
+//! seconds later and were selected again. This went on for 40 s, and 55 servers crashed because of
+//! one content. The log of one such request shows two attempts that end `Broken` with 0 events
+//! after 102 and 110 ms, then `stream_cut` with cause `attempts_used`; other requests fail with
+//! `not_connected` (connection refused) and `servers_full`.
 
 mod support;
 
@@ -38,7 +31,7 @@
     record, settings,
 };
 
-/// An entry before servers that a harmful request ends.
+/// An entry in front of servers that a harmful request crashes.
 struct Fixture {
     entry: DirectEntry,
     servers: Vec<MortalServer>,
@@ -64,7 +57,7 @@
         let headers = Arc::new(TestHeaders);
         let entry =
             DirectEntry::start_with_quarantines(settings(), store.clone(), headers, kept).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -113,7 +106,7 @@
 
 fn unix_now() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.expect("it is past 1970").as_millis() as u64
+    since.expect("clock is after 1970").as_millis() as u64
 }
 
 #[gtest]
@@ -122,18 +115,19 @@
     let fixture = Fixture::new(4).await;
     fixture.quarantine_harmful_request().await;
     let begun = tokio::time::Instant::now();
-    let answer = fixture.ask("/stream/harmful").await.expect("an answer");
+    let answer = fixture.ask("/stream/harmful").await.expect("response");
     expect_that!(begun.elapsed(), lt(Duration::from_millis(100)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let rest = answer.headers.get("retry-after").and_then(|value| value.to_str().ok());
     expect_that!(rest.and_then(|rest| rest.parse::<f64>().ok()), some(ge(60.0)));
-    // The same path with another query is the same content, whatever the caller adds to it.
-    let answer = fixture.ask("/stream/harmful?try=3").await.expect("an answer");
+    // The same path with another query counts as the same content, since callers may add
+    // parameters.
+    let answer = fixture.ask("/stream/harmful?try=3").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(fixture.ended_servers(), eq(3));
 }
 
-/// The servers of a service are lost in one moment, with sound streams at all of them.
+/// Several servers of a service are lost at once while all of them run harmless streams.
 #[gtest]
 #[tokio::test]
 async fn sound_requests_are_served_again_after_their_servers_were_lost_together() {
@@ -155,7 +149,7 @@
     }
 }
 
-/// A server that is told to leave ends in the middle of what it still has.
+/// A draining server ends in the middle of its remaining requests.
 #[gtest]
 #[tokio::test]
 async fn a_planned_shutdown_of_a_server_raises_no_suspicion() {
@@ -185,12 +179,12 @@
     expect_that!(first.ended_servers(), eq(3));
     let told = first.entry.state.quarantine.notices(first.entry.state.now());
     second.entry.state.quarantine.merge_notices(second.entry.state.now(), &told);
-    let answer = second.ask("/stream/harmful").await.expect("an answer");
+    let answer = second.ask("/stream/harmful").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(second.ended_servers(), eq(0));
 }
 
-/// The digest of what the tests' caller asks for.
+/// Digest of a request that the test caller sends.
 fn digest_of(path: &str) -> RequestDigest {
     let content = RequestContent {
         caller: Some("t"),
@@ -203,7 +197,7 @@
     RequestDigests::of(&content).whole
 }
 
-/// A copy that still waits for its server elsewhere is taken back from it.
+/// An attempt that still waits for a response is cancelled when another entry reports the request.
 #[gtest]
 #[tokio::test]
 async fn an_attempt_without_a_response_is_cancelled_once_the_request_is_refused() {
@@ -226,7 +220,7 @@
     };
     let (answer, ()) = tokio::join!(fixture.ask("/stream/sound"), refuse);
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
-    expect_that!(answer.expect("an answer").status, eq(StatusCode::BAD_GATEWAY));
+    expect_that!(answer.expect("response").status, eq(StatusCode::BAD_GATEWAY));
 }
 
 /// All entries may be killed at once, and none has a disk.
@@ -244,15 +238,15 @@
     expect_that!(until, all![gt(unix_now() + 500_000), le(unix_now() + 600_000)]);
     drop(first);
     let over = KeptQuarantine { digest: RequestDigest(7), until: UnixMillis(unix_now() - 1) };
-    kept.change(|kept| kept.push(over)).expect("it is taken");
+    kept.change(|kept| kept.push(over)).expect("record is stored");
     let second = Fixture::with_quarantines(3, kept.clone()).await;
     while second.entry.state.quarantine.refused(second.entry.state.now()).is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let answer = second.ask("/stream/harmful").await.expect("an answer");
+    let answer = second.ask("/stream/harmful").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(second.ended_servers(), eq(0));
-    // What is over is kept no longer.
+    // Expired records are removed.
     while kept.kept().len() > 1 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -262,7 +256,7 @@
     let request = CallRequest::get(path).sending(method, HeaderMap::new(), "".into());
     let connections = Connections::default();
     let called = connections.call(fixture.entry.admin, request, 1 << 20, Duration::from_secs(5));
-    called.await.expect("an answer")
+    called.await.expect("response")
 }
 
 #[gtest]
@@ -273,7 +267,7 @@
     fixture.quarantine_harmful_request().await;
     let shown = admin(&fixture, Method::GET, "/quarantine").await;
     let shown: serde_json::Value = serde_json::from_slice(&shown.body).expect("JSON");
-    let digest = shown[0]["content"].as_str().expect("a digest").to_owned();
+    let digest = shown[0]["content"].as_str().expect("digest").to_owned();
     expect_that!(shown[0]["ends"].as_u64(), some(eq(3)));
     expect_that!(shown[0]["left_s"].as_u64(), some(ge(590)));
     let bad = admin(&fixture, Method::DELETE, "/quarantine/none").await;
@@ -286,7 +280,7 @@
     while !kept.kept().is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // It is tried again, and judged anew.
+    // The request is tried again and judged from the start.
     fixture.quarantine_harmful_request().await;
     expect_that!(fixture.ended_servers(), eq(6));
 }
--- a/crates/daemon/tests/load_shedding.rs
+++ b/crates/daemon/tests/load_shedding.rs
@@ -1,4 +1,5 @@
-//! An entry before one engine that is full: what it refuses, what it counts, and when that ends.
+//! An entry in front of one full engine: which requests it sheds, what it counts, and when shedding
+//! ends.
 
 mod support;
 
@@ -18,16 +19,16 @@
     settings,
 };
 
-/// Slots of the engine; two more requests may wait there.
+/// Slots of the engine; two more requests may queue there.
 const SLOTS: u32 = 4;
 
-/// Requests that come together.
+/// Number of concurrent requests.
 const REQUESTS: u64 = 40;
 
-/// An entry before one engine whose streams take one second.
+/// An entry in front of one engine whose streams take 1 s.
 struct Fixture {
     entry: DirectEntry,
-    /// Kept for as long as requests may come.
+    /// Keeps the engine running.
     _engine: TestServer,
 }
 
@@ -48,37 +49,37 @@
         let plan = TrafficPlan { services, routes: vec![stream], ..plan(5) };
         let pace = EventPace { gap: Duration::from_millis(50), ..EventPace::default() };
         let engine = TestServer::start(pace).await;
-        let model = "m".parse().expect("a name");
+        let model = "m".parse().expect("valid name");
         let held = HeldModel { model, version: WeightVersion(1), layers: Vec::new() };
         let server = ServerRecord { models: vec![held], ..record("i1", engine.address, "z1") };
         let store = Arc::new(TestStore::default());
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan)));
         store.set(FactTopic::Servers, "i1", Fact::Server(server));
         let entry = DirectEntry::start(settings(), store, Arc::new(TestHeaders)).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Self { entry, _engine: engine }
     }
 
-    /// Statuses of requests with other contents each, that come together.
+    /// Statuses of concurrent requests with distinct contents.
     async fn ask_concurrently(&self) -> Vec<StatusCode> {
         let address = self.entry.address;
         let asking = (0..REQUESTS).map(|nth| {
             tokio::spawn(async move {
                 let answer = ask(address, &format!("/stream/{nth}"), "k").await;
-                answer.expect("an answer").status
+                answer.expect("response").status
             })
         });
         let mut statuses = Vec::new();
         for one in asking.collect::<Vec<_>>() {
-            statuses.push(one.await.expect("it does not panic"));
+            statuses.push(one.await.expect("task does not panic"));
         }
         statuses
     }
 
-    /// Requests of any size that have come this far.
+    /// Number of requests of any size that reached this step.
     fn step_count(&self, step: RequestStep) -> u64 {
         let metrics = &self.entry.state.metrics;
         SizeClass::ALL.iter().map(|size| metrics.steps("stream", *size, step)).sum()
@@ -109,9 +110,9 @@
 async fn requests_are_admitted_again_once_the_engine_is_free() {
     let fixture = Fixture::new().await;
     fixture.ask_concurrently().await;
-    // All streams have ended; what was refused a moment ago must not be refused on.
+    // All streams have ended; the shedding of a moment ago must not continue.
     for nth in 0..3 {
         let answer = ask(fixture.entry.address, &format!("/stream/later-{nth}"), "k").await;
-        expect_that!(answer.expect("an answer").status, eq(StatusCode::OK), "{nth}");
+        expect_that!(answer.expect("response").status, eq(StatusCode::OK), "{nth}");
     }
 }
--- a/crates/daemon/tests/rate_limits.rs
+++ b/crates/daemon/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! A rate limit that a server advertises in its answers holds for all entries together.
+//! A rate limit that a server advertises in its responses applies to all entries together.
 
 mod support;
 
@@ -27,10 +27,10 @@
 
 const ENTRIES: u8 = 3;
 
-/// Numbers of entries that are taken: tests run beside each other.
+/// Number of entry addresses in use, since tests run in parallel.
 static NUMBERS_USED: AtomicU8 = AtomicU8::new(0);
 
-/// Entries before servers of one service.
+/// Entries in front of servers of one service.
 struct Fixture {
     callers: Runtime,
     entries: Vec<EntryProcess>,
@@ -39,7 +39,7 @@
 
 impl Fixture {
     fn new(servers: usize) -> Self {
-        let callers = Runtime::new().expect("a runtime");
+        let callers = Runtime::new().expect("runtime");
         let store = Arc::new(TestStore::default());
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
         let servers: Vec<SignalingServer> =
@@ -55,8 +55,8 @@
         Self { callers, entries, servers }
     }
 
-    /// Has callers come to all entries, each every `pause`, for `time`; the shares of requests that were
-    /// served and that were refused.
+    /// Sends a request to every entry each `pause` for `time`; returns the fractions that were
+    /// served and refused.
     fn send_load(&self, pause: Duration, time: Duration) -> (f64, f64) {
         let until = Instant::now() + time;
         let callers = self.entries.iter().enumerate().map(|(number, entry)| {
@@ -89,7 +89,8 @@
     }
 }
 
-/// Requests that a server may get in four seconds at `limit` a second.
+/// Maximum number of requests that a server may get in 4 s at `limit` requests per second, with a
+/// tolerance.
 fn max_requests(limit: f64) -> usize {
     (limit * 4.0 * 1.5) as usize + 5
 }
@@ -120,11 +121,11 @@
     let begun = Instant::now();
     let lines = [("request-id", "last"), ("api-key", "k")];
     let answer = fixture.callers.block_on(ask_with(address, "/safe/a", &lines));
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("response");
     expect_that!(begun.elapsed(), lt(Duration::from_millis(300)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let rest = answer.headers.get("retry-after").and_then(|value| value.to_str().ok());
-    // The server takes one request in two seconds.
+    // The server accepts one request in 2 s.
     expect_that!(rest.and_then(|rest| rest.parse::<f64>().ok()), some(ge(2.0)));
 }
 
--- a/crates/daemon/tests/returning_servers.rs
+++ b/crates/daemon/tests/returning_servers.rs
@@ -1,4 +1,4 @@
-//! A server that ends and starts again under the id that it had, over sockets.
+//! A server that ends and restarts under the same id, over real sockets.
 
 mod support;
 
@@ -19,7 +19,7 @@
     Fact::Server(ServerRecord { born: Some(BirthTime(at)), ..record })
 }
 
-/// Failures of the life before kept a server out for up to 4.8 s after its return.
+/// Failures of the previous process kept a restarted server excluded for up to 4.8 s.
 #[gtest]
 #[tokio::test]
 async fn a_restarted_server_gets_requests_at_once() {
@@ -28,19 +28,19 @@
     let first = MortalServer::start(EventPace::default()).await;
     store.set(FactTopic::Servers, "i1", born(&first, 1000));
     let entry = DirectEntry::start(settings(), store.clone(), Arc::new(TestHeaders)).await;
-    let entry = entry.expect("it starts");
+    let entry = entry.expect("entry starts");
     while !entry.state.is_ready() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     first.end();
     tokio::time::sleep(Duration::from_millis(20)).await;
     let ask = |path: &'static str| ask_with(entry.address, path, &[("x-key", "k")]);
-    // Each failure doubles the pause.
+    // Each failure doubles the backoff.
     for _ in 0..5 {
         let _ = ask("/stream/a").await;
         tokio::time::sleep(Duration::from_millis(650)).await;
     }
-    let refused = ask("/stream/a").await.expect("an answer");
+    let refused = ask("/stream/a").await.expect("response");
     expect_that!(refused.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let second = MortalServer::start(EventPace::default()).await;
     store.set(FactTopic::Servers, "i1", born(&second, 2000));
@@ -48,7 +48,7 @@
     while !knows() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let answer = ask("/stream/b").await.expect("an answer");
+    let answer = ask("/stream/b").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::OK));
     expect_that!(second.seen().len(), eq(1));
 }
--- a/crates/daemon/tests/server_signals.rs
+++ b/crates/daemon/tests/server_signals.rs
@@ -1,4 +1,4 @@
-//! Drain announcements and backoffs in answers of servers hold whatever the store says.
+//! Drain announcements and backoffs in responses of servers apply regardless of the store.
 
 mod support;
 
@@ -21,7 +21,7 @@
 };
 use tokio::runtime::Runtime;
 
-/// An entry before servers of one service, all of which its store lists as ready.
+/// An entry in front of servers of one service, all of which the store lists as ready.
 struct Fixture {
     entry: DirectEntry,
     servers: Vec<SignalingServer>,
@@ -39,7 +39,7 @@
             servers.push(server);
         }
         let entry = DirectEntry::start(settings(), store, Arc::new(PlatformHeaders)).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -48,10 +48,10 @@
 
     async fn ask(&self, path: &str) -> CallAnswer {
         let lines = [("request-id", "r1"), ("api-key", "k")];
-        ask_with(self.entry.address, path, &lines).await.expect("an answer")
+        ask_with(self.entry.address, path, &lines).await.expect("response")
     }
 
-    /// Asks so often, for all kinds of routes by turns; the answers' statuses.
+    /// Sends `times` requests, alternating between the kinds of routes, and returns the statuses.
     async fn ask_repeatedly(&self, times: usize) -> Vec<StatusCode> {
         let mut statuses = Vec::new();
         for number in 0..times {
@@ -107,7 +107,7 @@
 
 #[gtest]
 fn a_drain_announcement_to_one_entry_holds_for_others() {
-    let callers = Runtime::new().expect("a runtime");
+    let callers = Runtime::new().expect("runtime");
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
     let servers = [(); 2].map(|()| callers.block_on(SignalingServer::start()));
@@ -120,7 +120,7 @@
     let ask = |entry: &EntryProcess| {
         let lines = [("request-id", "r1"), ("api-key", "k")];
         let asked = ask_with(entry.entry.address, "/safe/a", &lines);
-        callers.block_on(asked).expect("an answer").status
+        callers.block_on(asked).expect("response").status
     };
     servers[0].serve_with(&["server-leaving: 1"]);
     while servers[0].arrivals().is_empty() {
--- a/crates/daemon/tests/slow_readers.rs
+++ b/crates/daemon/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Callers that read slowly or not at all, and bodies that take more memory than there is.
+//! Callers that read slowly or not at all, and bodies that exceed the memory budget.
 
 mod support;
 
@@ -15,10 +15,10 @@
     net::TcpStream,
 };
 
-/// The status line of an answer.
+/// Reads the status line of a response.
 async fn status(stream: &mut TcpStream) -> String {
     let mut bytes = vec![0; 12];
-    stream.read_exact(&mut bytes).await.expect("an answer");
+    stream.read_exact(&mut bytes).await.expect("response");
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
@@ -46,7 +46,7 @@
     let mut piece = vec![0; 2 << 20];
     for _ in 0..12 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        slow.read_exact(&mut piece).await.expect("it goes on");
+        slow.read_exact(&mut piece).await.expect("stream continues");
     }
     expect_that!(*fixture.broken.borrow(), eq(0));
 }
@@ -58,7 +58,7 @@
         settings.direct.memory = ByteSize::from_mib(16);
     })
     .await;
-    // 3.2 MiB are for bodies.
+    // The budget for bodies is 3.2 MiB.
     let body = vec![b'x'; 1 << 20];
     let mut begun = Vec::new();
     for _ in 0..3 {
@@ -68,12 +68,12 @@
     let mut refused = fixture.send_head_of_body(body.len()).await;
     expect_that!(status(&mut refused).await, eq("HTTP/1.1 503"));
     for stream in &mut begun {
-        stream.write_all(&body).await.expect("it is read");
+        stream.write_all(&body).await.expect("body is read");
         expect_that!(status(stream).await, eq("HTTP/1.1 200"));
     }
     drop(begun);
     let mut again = fixture.send_head_of_body(body.len()).await;
-    again.write_all(&body).await.expect("it is read");
+    again.write_all(&body).await.expect("body is read");
     expect_that!(status(&mut again).await, eq("HTTP/1.1 200"));
 }
 
@@ -84,6 +84,6 @@
         settings.direct.memory = ByteSize::from_mib(16);
     })
     .await;
-    let answer = ask(fixture.entry.address, "/safe/large", "k").await.expect("an answer");
+    let answer = ask(fixture.entry.address, "/safe/large", "k").await.expect("response");
     expect_that!(answer.body.len(), eq(LARGE_BYTES));
 }
--- a/crates/daemon/tests/support/long_streams.rs
+++ b/crates/daemon/tests/support/long_streams.rs
@@ -1,4 +1,4 @@
-//! An entry before a server of long streams, and callers that read little of them.
+//! An entry in front of a server of long streams, and callers that read little of them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,16 +20,17 @@
     settings,
 };
 
-/// Bytes of one event of a long stream.
+/// Size of one event of a long stream.
 const EVENT_BYTES: usize = 16 << 10;
 
-/// Events of a long stream: 64 MiB.
+/// Events of a long stream, 64 MiB in total.
 const EVENTS: usize = 4096;
 
-/// Bytes of an answer that is larger than the memory for answers in the smallest process.
+/// Size of a response that exceeds the memory budget for responses in the smallest process.
 pub const LARGE_BYTES: usize = 4 << 20;
 
-/// Streams a long answer to paths that ask for one, and tells when one could not be sent to its end.
+/// Streams a long response to paths that ask for one, and counts those that could not be sent
+/// completely.
 #[derive(Clone)]
 pub struct LongStreams {
     broken: watch::Sender<usize>,
@@ -38,7 +39,7 @@
 impl Responder for LongStreams {
     async fn answer(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
         let announced = header(head, "content-length").and_then(|length| length.parse().ok());
-        // A close with unread bytes would reset the connection and take the answer with it.
+        // Closing with unread bytes would reset the connection and discard the response.
         stream.read_exact(&mut vec![0; announced.unwrap_or(0)]).await?;
         let id = header(head, "x-id").unwrap_or_default();
         let begin = format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\n");
@@ -70,18 +71,18 @@
     }
 }
 
-/// An entry before a server of long streams.
+/// An entry in front of two servers of long streams.
 #[derive(Debug)]
 pub struct Fixture {
     /// The entry.
     pub entry: DirectEntry,
-    /// Streams that could not be sent to their end.
+    /// Number of streams that could not be sent completely.
     pub broken: watch::Receiver<usize>,
     _servers: [TestServer; 2],
 }
 
 impl Fixture {
-    /// An entry with changed settings before one server.
+    /// Starts an entry with changed settings in front of two servers.
     pub async fn new(change: impl FnOnce(&mut DirectEntrySettings)) -> Self {
         let (broken, told) = watch::channel(0);
         let servers = [
@@ -99,30 +100,30 @@
         let mut settings = settings();
         change(&mut settings);
         let entry = DirectEntry::start(settings, store, Arc::new(TestHeaders)).await;
-        let entry = entry.expect("it starts");
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Self { entry, broken: told, _servers: servers }
     }
 
-    /// A caller that has asked and reads nothing.
+    /// A caller that has sent a request and reads nothing.
     pub async fn non_reading_caller(&self, path: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(self.entry.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.entry.address).await.expect("entry listens");
         let head =
             format!("GET {path} HTTP/1.1\r\nhost: a.example\r\nx-id: r1\r\nx-key: k\r\n\r\n");
-        stream.write_all(head.as_bytes()).await.expect("it is written");
+        stream.write_all(head.as_bytes()).await.expect("request is written");
         stream
     }
 
-    /// A caller that has sent the head of a request with a body, and none of the body.
+    /// A caller that has sent the head of a request with a body, but none of the body.
     pub async fn send_head_of_body(&self, bytes: usize) -> TcpStream {
-        let mut stream = TcpStream::connect(self.entry.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.entry.address).await.expect("entry listens");
         let head = format!(
             "POST /once/x HTTP/1.1\r\nhost: a.example\r\nx-id: r1\r\nx-key: k\r\n\
              content-length: {bytes}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).await.expect("it is written");
+        stream.write_all(head.as_bytes()).await.expect("request is written");
         stream
     }
 }
--- a/crates/daemon/tests/support/server.rs
+++ b/crates/daemon/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A server that answers each request on a connection of its own, and then closes it.
+//! A server that answers one request per connection and then closes it.
 
 use std::{
     net::SocketAddr,
@@ -12,9 +12,9 @@
 
 use super::read_head;
 
-/// How a server answers.
+/// How a server responds.
 pub trait Responder: Clone + Send + 'static {
-    /// Answers the request with this head.
+    /// Responds to the request with this head.
     fn answer(
         &self,
         stream: &mut TcpStream,
@@ -22,7 +22,7 @@
     ) -> impl Future<Output = std::io::Result<()>> + Send;
 }
 
-/// The whole answer to a request with this head.
+/// Computes the complete response to a request with this head.
 pub type Script = fn(&str) -> Vec<u8>;
 
 impl Responder for Script {
@@ -31,10 +31,10 @@
     }
 }
 
-/// A server that remembers what it was asked.
+/// A server that records its requests.
 #[derive(Debug)]
 pub struct TestServer {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<String>>>,
 }
@@ -42,8 +42,8 @@
 impl TestServer {
     /// Starts a server on a free port.
     pub async fn start(plan: impl Responder) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+        let address = listener.local_addr().expect("listener is bound");
         let seen = Arc::new(Mutex::new(Vec::new()));
         let log = seen.clone();
         tokio::spawn(async move {
@@ -54,16 +54,16 @@
         Self { address, seen }
     }
 
-    /// Heads of the requests that have come.
+    /// Heads of the requests received so far.
     pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().expect("no test panics with it").clone()
+        self.seen.lock().expect("lock is not poisoned").clone()
     }
 }
 
 async fn serve(mut stream: TcpStream, plan: impl Responder, seen: Arc<Mutex<Vec<String>>>) {
     let Some(head) = read_head(&mut stream).await else { return };
-    seen.lock().expect("no test panics with it").push(head.clone());
-    // A caller that has gone reads nothing; that is its own affair.
+    seen.lock().expect("lock is not poisoned").push(head.clone());
+    // The caller may have disconnected.
     let _ = plan.answer(&mut stream, &head).await;
     let _ = stream.shutdown().await;
 }
--- a/crates/daemon/tests/support/signaling.rs
+++ b/crates/daemon/tests/support/signaling.rs
@@ -1,4 +1,4 @@
-//! Servers that send rate limits, drain announcements and backoffs in the headers of their answers.
+//! Servers that send rate limits, drain announcements and backoffs in their response headers.
 
 use std::{
     net::SocketAddr,
@@ -13,19 +13,19 @@
 
 use super::{header, read_head};
 
-/// What a server answers every request with.
+/// How a server responds to every request.
 #[derive(Debug, Clone, Default)]
 struct AnswerScript {
-    /// It refuses all requests.
+    /// Refuses all requests.
     refuses: bool,
-    /// Further header lines.
+    /// Additional header lines.
     lines: Vec<String>,
 }
 
-/// A server that answers at once, on connections that stay open.
+/// A server that responds at once, on connections that stay open.
 #[derive(Debug, Clone)]
 pub struct SignalingServer {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     script: Arc<Mutex<AnswerScript>>,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -34,8 +34,8 @@
 impl SignalingServer {
     /// Starts a server on a free port that sends no signals.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+        let address = listener.local_addr().expect("listener is bound");
         let server = Self { address, script: Arc::default(), arrivals: Arc::default() };
         let served = server.clone();
         tokio::spawn(async move {
@@ -46,29 +46,29 @@
         server
     }
 
-    /// Serves requests from now on, with these header lines in its answers.
+    /// Serves requests from now on, with these header lines in its responses.
     pub fn serve_with(&self, lines: &[&str]) {
         self.set(false, lines);
     }
 
-    /// Refuses requests from now on, with these header lines in its answers.
+    /// Refuses requests from now on, with these header lines in its responses.
     pub fn refuse_with(&self, lines: &[&str]) {
         self.set(true, lines);
     }
 
     fn set(&self, refuses: bool, lines: &[&str]) {
         let lines = lines.iter().map(|line| (*line).to_owned()).collect();
-        *self.script.lock().expect("no test panics with it") = AnswerScript { refuses, lines };
+        *self.script.lock().expect("lock is not poisoned") = AnswerScript { refuses, lines };
     }
 
-    /// When requests have come.
+    /// Arrival times of the requests so far.
     pub fn arrivals(&self) -> Vec<Instant> {
-        self.arrivals.lock().expect("no test panics with it").clone()
+        self.arrivals.lock().expect("lock is not poisoned").clone()
     }
 
     async fn serve(self, mut stream: TcpStream) {
         while let Some(head) = read_head(&mut stream).await {
-            self.arrivals.lock().expect("no test panics with it").push(Instant::now());
+            self.arrivals.lock().expect("lock is not poisoned").push(Instant::now());
             let answer = self.answer(header(&head, "request-id").unwrap_or_default());
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
@@ -78,7 +78,7 @@
 
     fn answer(&self, id: &str) -> String {
         let AnswerScript { refuses, lines } =
-            self.script.lock().expect("no test panics with it").clone();
+            self.script.lock().expect("lock is not poisoned").clone();
         let status = match refuses {
             true => "503 Service Unavailable\r\nnot-executed: 1",
             false => "200 OK\r\nresponse-stamp: s",
@@ -88,7 +88,7 @@
     }
 }
 
-/// The most arrivals in any span of this length that begins at `from` or later.
+/// The maximum number of arrivals in any window of length `span` that begins at `from` or later.
 pub fn max_in_window(arrivals: &[Instant], span: std::time::Duration, from: Instant) -> usize {
     let within =
         |first: Instant| arrivals.iter().filter(move |at| **at >= first && **at < first + span);
--- a/crates/daemon/tests/unknown_headers.rs
+++ b/crates/daemon/tests/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Unknown headers in answers of servers are visible to operators by name.
+//! Unknown headers in responses of servers are visible to operators by name.
 
 mod support;
 
@@ -19,14 +19,14 @@
     server.serve_with(&["server-mood: low", "content-type: text/plain", "keep-alive: timeout=5"]);
     store.set(FactTopic::Servers, "i0", Fact::Server(record("i0", server.address, "z1")));
     let entry = DirectEntry::start(settings(), store, Arc::new(PlatformHeaders)).await;
-    let entry = entry.expect("it starts");
+    let entry = entry.expect("entry starts");
     while !entry.state.is_ready() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for number in 0..3 {
         let id = format!("{number}");
         let lines = [("request-id", id.as_str()), ("api-key", "k")];
-        ask_with(entry.address, "/safe/a", &lines).await.expect("an answer");
+        ask_with(entry.address, "/safe/a", &lines).await.expect("response");
     }
     let metrics = &entry.state.metrics;
     expect_that!(metrics.unknown_headers("server-mood"), eq(3));
--- a/crates/daemon/tests/unread_streams.rs
+++ b/crates/daemon/tests/unread_streams.rs
@@ -1,4 +1,5 @@
-//! Streams that nobody reads. The test measures the memory of its process, so that it stands alone.
+//! Streams that nobody reads. The test measures the memory of its process and is therefore alone in
+//! its file.
 
 mod support;
 
@@ -8,10 +9,10 @@
 use support::{ask, long_streams::Fixture};
 use tokio::time::Instant;
 
-/// Memory of this process, in MiB.
+/// Resident memory of this process, in MiB.
 fn resident_mib() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/statm").expect("it can be read");
-    let pages: u64 = text.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a number");
+    let text = std::fs::read_to_string("/proc/self/statm").expect("statm is readable");
+    let pages: u64 = text.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("page count");
     (pages * 4096) >> 20
 }
 
@@ -27,10 +28,10 @@
     tokio::time::sleep(Duration::from_millis(800)).await;
     let begun = Instant::now();
     for _ in 0..20 {
-        let answer = ask(fixture.entry.address, "/safe/x", "k").await.expect("an answer");
+        let answer = ask(fixture.entry.address, "/safe/x", "k").await.expect("response");
         expect_that!(&answer.body[..], eq(b"whole"));
     }
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
-    // Each has 64 MiB to come.
+    // Each stream still has 64 MiB to send.
     expect_that!(resident_mib().saturating_sub(before), lt(60));
 }
