--- a/crates/daemon/src/direct/answer.rs
+++ b/crates/daemon/src/direct/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 
-/// Why a body broke off.
-pub type BodyFailure = Box<dyn std::error::Error + Send + Sync>;
+/// Why a response body ended early.
+pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyFailure>;
+/// Body of a response.
+pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Headers that belong to one connection.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -23,13 +23,13 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// A body that is all here.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+/// A body that is completely in memory.
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Takes out of a head what belongs to the connection that it came on.
-pub fn strip_connection(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those that `Connection` names.
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -44,21 +44,21 @@
     headers.remove("proxy-connection");
 }
 
-/// Why a request got an answer of our own.
+/// Response that the entry generates itself because a request was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenUp {
-    /// Status of the answer.
+pub struct ErrorResponse {
+    /// HTTP status.
     pub status: StatusCode,
-    /// The cause, for logs and metrics.
+    /// Cause, for logs and metrics.
     pub cause: &'static str,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When the caller may come back.
+    /// When the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-impl GivenUp {
-    /// The request has certainly not run and may come back.
+impl ErrorResponse {
+    /// The request has certainly not run; the caller may retry it.
     pub fn refused(cause: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -68,19 +68,19 @@
         }
     }
 
-    /// The request is not one that is served.
+    /// The request is invalid or not permitted.
     pub fn denied(status: StatusCode, cause: &'static str) -> Self {
         Self { status, cause, verdict: RunVerdict::NotRun, retry_after: None }
     }
 
-    /// Nobody can tell whether the request has run.
-    pub fn unsure(status: StatusCode, cause: &'static str) -> Self {
+    /// It is unknown whether the request has run.
+    pub fn outcome_unknown(status: StatusCode, cause: &'static str) -> Self {
         Self { status, cause, verdict: RunVerdict::MayHaveRun, retry_after: None }
     }
 
-    /// The answer.
+    /// Converts this to an HTTP response.
     pub fn response(&self) -> Response<AnswerBody> {
-        let mut response = Response::new(whole(Bytes::from(format!("{}\n", self.cause))));
+        let mut response = Response::new(full_body(Bytes::from(format!("{}\n", self.cause))));
         *response.status_mut() = self.status;
         if let Some(rest) = self.retry_after {
             let seconds = format!("{:.2}", rest.as_secs_f64());
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -1,4 +1,5 @@
-//! Takes in one request: route, tenant, body, and who answers it.
+//! Admits requests: matches the route, authenticates the tenant, reads the body and selects the
+//! service.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -27,86 +28,86 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::{AnswerBody, GivenUp},
+    answer::{AnswerBody, ErrorResponse},
     body_memory::HeldBody,
     exchange,
     state::EntryState,
 };
 use crate::decisions;
 
-/// Time to come back where no plan is known yet.
-const NO_PLAN_REST: Duration = Duration::from_millis(500);
+/// `Retry-After` while no plan is known.
+const NO_PLAN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time for which a request that the plan in force does not allow waits for a newer plan that
-/// others have: one from a neighbour comes within 0.1 s, and a caller that is to try elsewhere
-/// must still have time for that.
+/// Maximum wait for a newer plan when the current one does not allow a request and another entry
+/// has a newer one. A plan from a nearby entry arrives within 0.1 s, and the caller must still have
+/// time to try another entry.
 const NEWER_PLAN_WAIT: Duration = Duration::from_millis(300);
 
-/// Deadline of a request that names none and whose route names none.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+/// Deadline of a request when neither the caller nor the route sets one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// A request that has been let in, with all that its sending needs.
+/// A request that has been admitted, with everything needed to send it.
 #[derive(Debug, Clone)]
-pub struct RequestPlan {
-    /// Its id as the caller gave it.
+pub struct AdmittedRequest {
+    /// Request id from the caller.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as they came.
+    /// Headers from the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: HeldBody,
-    /// Whether the caller announced a body, if an empty one.
-    pub announced_body: bool,
-    /// Its route.
+    /// Whether the caller declared a body, even an empty one.
+    pub declares_body: bool,
+    /// Matched route.
     pub route: Route,
-    /// The service that answers.
+    /// Service that the request goes to.
     pub service: Arc<str>,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Its tenant.
+    /// Tenant that the key belongs to.
     pub tenant: Option<String>,
-    /// The engine's figures, if engines answer it.
+    /// Performance figures of the engine; `None` for services without engines.
     pub engine: Option<EngineFigures>,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When it is given up, unless the machine is suspended meanwhile.
+    /// When the request times out, not counting later suspensions of the machine.
     pub deadline: Instant,
-    /// Time for which the machine had been suspended when it came.
-    pub slept: Duration,
-    /// Whose limit the deadline is.
+    /// Total time that the machine had been suspended when the request arrived.
+    pub suspended_before: Duration,
+    /// Which limit determined the deadline.
     pub limit: TimeLimit,
-    /// Version of the plan that decided.
+    /// Version of the plan that admitted the request.
     pub plan: u64,
-    /// What its head says.
+    /// Values read from the request headers.
     pub facts: RequestFacts,
-    /// What tells that the same content comes again.
+    /// Digests that identify the same content in other requests.
     pub digests: RequestDigests,
-    /// Where its body's size stands among those of its route.
+    /// Size class of the body among recent requests of the route.
     pub size: SizeClass,
 }
 
-/// Counts a request as held.
-struct Held(Arc<EntryState>);
+/// Keeps a request in the count of requests in progress.
+struct InProgressGuard(Arc<EntryState>);
 
-impl Held {
+impl InProgressGuard {
     fn new(state: Arc<EntryState>) -> Self {
         state.in_progress.fetch_add(1, Ordering::Relaxed);
         Self(state)
     }
 }
 
-impl Drop for Held {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(state: Arc<EntryState>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let held = Held::new(state.clone());
+    let held = InProgressGuard::new(state.clone());
     let facts = state.headers.read_request(request.headers());
     let id = facts.id.clone().unwrap_or_default();
     let admitted = admit(&state, request, facts).await;
@@ -135,7 +136,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    // Held until the last byte of the answer has gone out.
+    // The request counts as in progress until the last byte of the response has been written.
     response.map(|body| {
         body.map_frame(move |frame| {
             let _ = &held;
@@ -149,15 +150,15 @@
     state: &Arc<EntryState>,
     request: Request<Incoming>,
     facts: RequestFacts,
-) -> Result<RequestPlan, GivenUp> {
+) -> Result<AdmittedRequest, ErrorResponse> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let (routes, found) = find_target(state, &parts, facts.key.as_deref()).await?;
-    let FoundRoute { route, tenant } = found;
-    let announced_body = parts.headers.contains_key(header::CONTENT_LENGTH)
+    let RouteMatch { route, tenant } = found;
+    let declares_body = parts.headers.contains_key(header::CONTENT_LENGTH)
         || parts.headers.contains_key(header::TRANSFER_ENCODING);
     let limits = routes.plan().limits;
-    let timeout = if route.timeout_ms == 0 { USUAL_DEADLINE } else { route.timeout() };
+    let timeout = if route.timeout_ms == 0 { DEFAULT_DEADLINE } else { route.timeout() };
     let caller = facts.deadline.map(|time| LimitedTime::new(time, TimeLimit::Caller));
     let held = LimitedTime::new(timeout, TimeLimit::Route).shorter(caller);
     let deadline = arrived + held.time;
@@ -165,19 +166,21 @@
     let body = read.await?;
     let target = pick_target(&route, rand::rng().random());
     let service = target.map(|target| target.service.clone());
-    let service = service.ok_or_else(|| GivenUp::refused("no_service", NO_PLAN_REST))?;
+    let service =
+        service.ok_or_else(|| ErrorResponse::refused("no_service", NO_PLAN_RETRY_AFTER))?;
     let engine = routes.plan().services.get(&*service).and_then(|service| service.engine.clone());
     let digests = digests_of(&parts, tenant.as_deref(), &body.bytes);
     let size = state.sizes().record(&route.name, ByteSize::from_bytes(body.bytes.len() as u64));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let uri = path.parse().map_err(|_| GivenUp::denied(StatusCode::BAD_REQUEST, "bad_path"))?;
-    Ok(RequestPlan {
+    let uri =
+        path.parse().map_err(|_| ErrorResponse::denied(StatusCode::BAD_REQUEST, "bad_path"))?;
+    Ok(AdmittedRequest {
         id: facts.id.clone().unwrap_or_default(),
         method: parts.method,
         uri,
         headers: parts.headers,
         body,
-        announced_body,
+        declares_body,
         repeatable: route.repeatable(),
         route,
         service,
@@ -185,7 +188,7 @@
         engine,
         arrived,
         deadline,
-        slept: state.slept(),
+        suspended_before: state.suspended_time(),
         limit: held.limit,
         plan: routes.plan().version.0,
         facts,
@@ -194,26 +197,28 @@
     })
 }
 
-/// The route and tenant of a request.
+/// Route and tenant of a request.
 #[derive(Debug, Clone)]
-struct FoundRoute {
+struct RouteMatch {
     route: Route,
     tenant: Option<String>,
 }
 
-/// Finds route and tenant, and the routes that decided.
+/// Finds the route and tenant of a request, and the route table that they were found in.
 ///
-/// What the plan in force does not allow, a newer one may: where another entry is known to have a
-/// newer one, that is waited for, and the request is not denied on the old one. Callers do not come
-/// back after a denial; after a refusal they find an entry that knows better.
+/// A request that the current plan does not allow may be allowed by a newer one. If another entry
+/// is known to have a newer plan, this waits for that plan, and if the plan does not arrive the
+/// request is refused rather than denied: callers do not retry after a denial, but after a refusal
+/// they try another entry.
 async fn find_target(
     state: &EntryState,
     parts: &Parts,
     key: Option<&str>,
-) -> Result<(Arc<RouteTable>, FoundRoute), GivenUp> {
-    let current = || state.routes().ok_or_else(|| GivenUp::refused("no_plan_yet", NO_PLAN_REST));
+) -> Result<(Arc<RouteTable>, RouteMatch), ErrorResponse> {
+    let current =
+        || state.routes().ok_or_else(|| ErrorResponse::refused("no_plan_yet", NO_PLAN_RETRY_AFTER));
     let routes = current()?;
-    let denied = match find_in(&routes, parts, key) {
+    let denied = match match_route(&routes, parts, key) {
         Ok(found) => return Ok((routes, found)),
         Err(denied) => denied,
     };
@@ -222,18 +227,23 @@
     }
     let version = routes.plan().version;
     if !state.plan.newer_than(version, NEWER_PLAN_WAIT).await {
-        return Err(GivenUp::refused("plan_behind", NO_PLAN_REST));
+        return Err(ErrorResponse::refused("plan_behind", NO_PLAN_RETRY_AFTER));
     }
     let routes = current()?;
-    let found = find_in(&routes, parts, key)?;
+    let found = match_route(&routes, parts, key)?;
     Ok((routes, found))
 }
 
-fn find_in(routes: &RouteTable, parts: &Parts, key: Option<&str>) -> Result<FoundRoute, GivenUp> {
+fn match_route(
+    routes: &RouteTable,
+    parts: &Parts,
+    key: Option<&str>,
+) -> Result<RouteMatch, ErrorResponse> {
     let route = find_route(routes, &parts.headers, &parts.uri)?;
     let tenant = routes.organisation(route, key);
-    let tenant = tenant.map_err(|_| GivenUp::denied(StatusCode::UNAUTHORIZED, "unknown_key"))?;
-    Ok(FoundRoute { route: route.clone(), tenant: tenant.map(|tenant| tenant.name.to_string()) })
+    let tenant =
+        tenant.map_err(|_| ErrorResponse::denied(StatusCode::UNAUTHORIZED, "unknown_key"))?;
+    Ok(RouteMatch { route: route.clone(), tenant: tenant.map(|tenant| tenant.name.to_string()) })
 }
 
 fn host_of<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> &'a str {
@@ -256,27 +266,27 @@
     routes: &'a RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
-) -> Result<&'a Route, GivenUp> {
+) -> Result<&'a Route, ErrorResponse> {
     routes.route(host_of(headers, uri), uri.path()).map_err(|denial| match denial {
-        Denial::NoRoute => GivenUp::denied(StatusCode::NOT_FOUND, "no_route"),
-        Denial::UnknownKey => GivenUp::denied(StatusCode::UNAUTHORIZED, "unknown_key"),
+        Denial::NoRoute => ErrorResponse::denied(StatusCode::NOT_FOUND, "no_route"),
+        Denial::UnknownKey => ErrorResponse::denied(StatusCode::UNAUTHORIZED, "unknown_key"),
     })
 }
 
-impl RequestPlan {
-    /// What it asks of an engine; none for plain services.
-    pub fn work(&self) -> Option<EngineWork> {
+impl AdmittedRequest {
+    /// Engine work of the request; `None` for services without engines.
+    pub fn engine_work(&self) -> Option<EngineWork> {
         let figures = self.engine.as_ref()?;
         Some(EngineWork::new(figures, self.facts.prompt_tokens, self.route.objective()))
     }
 
-    /// Time that is left of it, by the caller's clock.
-    pub fn left(&self, state: &EntryState) -> Duration {
+    /// Time left until the deadline as the caller counts it, including suspensions of the machine.
+    pub fn time_left(&self, state: &EntryState) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
-        left.saturating_sub(state.slept().saturating_sub(self.slept))
+        left.saturating_sub(state.suspended_time().saturating_sub(self.suspended_before))
     }
 
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Stream
     }
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -1,8 +1,9 @@
-//! Passes a stream on event by event, and continues it on another server where that is allowed.
+//! Forwards a stream event by event and, where allowed, continues it on another server.
 //!
-//! A begun answer ends early only where nobody can go on with it: its server broke off, or the
-//! deadline has passed. A server that says nothing for long may only be slow. Another one is asked
-//! beside it, and whichever brings something first goes on.
+//! A response that has begun is cut off only if no server can continue it: its server closed the
+//! connection, or the deadline has passed. A server that sends nothing for a while may just be
+//! slow, so another server is asked in parallel, and the first one to send data continues the
+//! stream.
 
 use std::{pin::pin, time::Duration};
 
@@ -26,42 +27,43 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::{AnswerBody, BodyFailure, strip_connection},
+    answer::{AnswerBody, BodyError, strip_hop_by_hop_headers},
     attempt::{AttemptFailure, InFlight, ServerAnswer},
     exchange::Exchange,
 };
 
-/// Pause after which another server is asked as well, as a multiple of the pause that is wanted.
-const PAUSE_PATIENCE: u32 = 2;
+/// Pause after which another server is asked in parallel, as a multiple of the route's pause
+/// objective.
+const PAUSE_TOLERANCE_FACTOR: u32 = 2;
 
-/// Least such pause.
-const LEAST_PAUSE: Duration = Duration::from_millis(800);
+/// Lower bound of that pause.
+const MIN_PAUSE_TOLERANCE: Duration = Duration::from_millis(800);
 
-/// Why no more of a stream came from one server.
+/// Why a stream from a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// It ended as it should.
+    /// The stream is complete.
     Whole,
-    /// It broke off.
+    /// The server closed the connection.
     Broken,
-    /// Nothing came for long, and another server went on.
+    /// The server sent nothing for too long and another server continued the stream.
     Silent,
-    /// The deadline has passed.
+    /// The deadline passed.
     Deadline,
 }
 
-/// A server that a stream comes from.
+/// A server that a stream is read from.
 struct StreamSource {
     body: Incoming,
     connection: HeldConnection,
     in_flight: InFlight,
     splitter: EventSplitter,
-    /// Time that the server was given.
-    given: LimitedTime,
-    /// When its answer began.
-    taken: Moment,
-    /// It has brought a whole event.
-    brought: bool,
+    /// Time limit sent to the server.
+    time_limit: LimitedTime,
+    /// When the server's response began.
+    started: Moment,
+    /// The server has sent a complete event.
+    has_events: bool,
 }
 
 impl StreamSource {
@@ -71,18 +73,18 @@
             connection: answer.connection,
             in_flight: answer.in_flight,
             splitter: EventSplitter::default(),
-            given: answer.given,
-            taken: now,
-            brought: false,
+            time_limit: answer.time_limit,
+            started: now,
+            has_events: false,
         }
     }
 
-    /// How far the answer had come when the server ended.
+    /// How far the server got with the request, for the report of its crash.
     fn ended_run(&self) -> ProgressAtEnd {
-        if self.brought { ProgressAtEnd::Begun } else { ProgressAtEnd::Silent }
+        if self.has_events { ProgressAtEnd::Begun } else { ProgressAtEnd::Silent }
     }
 
-    /// The next bytes, or how the stream has ended.
+    /// Reads the next bytes of the stream, or how it ended.
     async fn next(&mut self) -> Result<Bytes, StreamEnd> {
         loop {
             match self.body.frame().await {
@@ -98,32 +100,31 @@
     }
 }
 
-/// A stream in progress.
 struct Relay {
     exchange: Exchange,
     last_event: Option<u64>,
     events: u64,
     timing: StreamTiming,
     status: StatusCode,
-    /// It has been told that nobody can be asked beside a silent server.
-    told_waiting: bool,
+    /// The wait for a silent server without a hedge has been logged.
+    waiting_logged: bool,
 }
 
-/// What comes next.
-enum Next {
-    /// Bytes from the server.
+/// The next step of a stream.
+enum NextData {
+    /// Data from the current server.
     Data(Bytes),
-    /// Another server has brought these bytes before the silent one brought any.
+    /// Another server sent this data before the silent one sent any.
     Replaced(Box<StreamSource>, Bytes),
-    /// Nothing comes any more from the server.
+    /// The current server sends nothing more.
     End(StreamEnd),
 }
 
-/// The caller's answer to a stream that a server has begun.
+/// Response to the caller for a stream that a server has begun.
 pub fn stream(exchange: Exchange, mut answer: ServerAnswer) -> Response<AnswerBody> {
     let status = answer.response.status();
     let mut headers = std::mem::take(answer.response.headers_mut());
-    strip_connection(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let mut source = StreamSource::new(answer, exchange.state.now());
     let mut relay = Relay {
@@ -132,40 +133,40 @@
         exchange,
         events: 0,
         timing: StreamTiming::default(),
-        told_waiting: false,
+        waiting_logged: false,
     };
-    relay.exchange.begun = true;
+    relay.exchange.answer_begun = true;
     let frames = async_stream::try_stream! {
         loop {
             let data = match relay.next(&mut source).await {
-                Next::Data(data) => data,
-                Next::Replaced(other, data) => {
-                    relay.let_go(source, StreamEnd::Silent);
+                NextData::Data(data) => data,
+                NextData::Replaced(other, data) => {
+                    relay.abandon(source, StreamEnd::Silent);
                     source = *other;
                     data
                 }
-                Next::End(StreamEnd::Whole) => {
+                NextData::End(StreamEnd::Whole) => {
                     source.in_flight.end(ServerOutcome::Answered);
                     relay.finish(&source);
                     relay.exchange.state.connections.put_back(source.connection);
                     return;
                 }
-                Next::End(end) => {
-                    let described = relay.describe(&source, end);
+                NextData::End(end) => {
+                    let log_fields = relay.log_fields(&source, end);
                     let (server, run) = (source.in_flight.server().clone(), source.ended_run());
-                    relay.let_go(source, end);
+                    relay.abandon(source, end);
                     if end == StreamEnd::Broken {
-                        relay.exchange.note_break(&server, run).await;
+                        relay.exchange.handle_connection_break(&server, run).await;
                     }
                     let continued = relay.continue_elsewhere(end).await;
                     if let Err(cause) = continued {
-                        relay.exchange.cut(cause, described);
+                        relay.exchange.record_cut(cause, log_fields);
                     }
-                    source = continued.map_err(BodyFailure::from)?;
+                    source = continued.map_err(BodyError::from)?;
                     continue;
                 }
             };
-            for event in relay.take(&mut source, &data) {
+            for event in relay.new_events(&mut source, &data) {
                 yield Frame::data(Bytes::from(event.bytes));
             }
         }
@@ -177,85 +178,88 @@
 }
 
 impl Relay {
-    /// What comes next.
-    async fn next(&mut self, source: &mut StreamSource) -> Next {
+    /// Reads the next data, hedging on another server during long pauses.
+    async fn next(&mut self, source: &mut StreamSource) -> NextData {
         let deadline = self.exchange.request.deadline;
         let pause = Duration::from_millis(self.exchange.request.route.pause_objective_ms);
-        let pause = (pause * PAUSE_PATIENCE).max(LEAST_PAUSE);
+        let pause = (pause * PAUSE_TOLERANCE_FACTOR).max(MIN_PAUSE_TOLERANCE);
         loop {
             let patience = Instant::now() + pause;
             match tokio::time::timeout_at(patience.min(deadline), source.next()).await {
-                Ok(Ok(data)) => return Next::Data(data),
-                Ok(Err(end)) => return Next::End(end),
-                Err(_) if Instant::now() >= deadline => return Next::End(StreamEnd::Deadline),
+                Ok(Ok(data)) => return NextData::Data(data),
+                Ok(Err(end)) => return NextData::End(end),
+                Err(_) if Instant::now() >= deadline => return NextData::End(StreamEnd::Deadline),
                 Err(_) => {}
             }
-            if let Some(next) = self.ask_beside(source).await {
+            if let Some(next) = self.hedge(source).await {
                 return next;
             }
         }
     }
 
-    /// Asks another server while the silent one may still go on; none if there is nothing new.
+    /// Asks another server in parallel while the current one is silent; `None` if neither has
+    /// anything to forward.
     ///
-    /// To let go of the silent one first would cost callers what it has yet to say wherever the other
-    /// one refuses, is silent as well, or cannot be asked.
-    async fn ask_beside(&mut self, source: &mut StreamSource) -> Option<Next> {
+    /// The silent server is kept meanwhile: dropping it first would lose the rest of its answer
+    /// whenever the other server refuses, is silent too, or can't be reached.
+    async fn hedge(&mut self, source: &mut StreamSource) -> Option<NextData> {
         if !self.exchange.request.repeatable {
             return None;
         }
         let server = match self.exchange.next_server() {
             Ok(server) => server,
             Err(cause) => {
-                self.note_waiting(cause);
+                self.log_waiting(cause);
                 return None;
             }
         };
-        if self.exchange.is_last_sending() {
-            source.in_flight.note_last();
+        if self.exchange.is_final_attempt() {
+            source.in_flight.mark_final_attempt();
         }
         let (last, status) = (self.last_event, self.status);
-        let (begun, broke) = {
+        let (outcome, broken) = {
             let exchange = &mut self.exchange;
-            let mut asking = pin!(begin_elsewhere(exchange, server, last, status));
+            let mut hedging = pin!(start_on(exchange, server, last, status));
             tokio::select! {
                 biased;
                 data = source.next() => match data {
-                    Ok(data) => return Some(Next::Data(data)),
-                    Err(StreamEnd::Whole) => return Some(Next::End(StreamEnd::Whole)),
-                    Err(end) => match asking.await {
-                        Ok(begun) => (Ok(begun), true),
-                        Err(_) => return Some(Next::End(end)),
+                    Ok(data) => return Some(NextData::Data(data)),
+                    Err(StreamEnd::Whole) => return Some(NextData::End(StreamEnd::Whole)),
+                    Err(end) => match hedging.await {
+                        Ok(started) => (Ok(started), true),
+                        Err(_) => return Some(NextData::End(end)),
                     },
                 },
-                begun = &mut asking => (begun, false),
+                outcome = &mut hedging => (outcome, false),
             }
         };
-        if broke {
-            self.exchange.note_break(source.in_flight.server(), source.ended_run()).await;
+        if broken {
+            self.exchange
+                .handle_connection_break(source.in_flight.server(), source.ended_run())
+                .await;
         }
-        let (other, data) = begun.ok()?;
-        Some(Next::Replaced(Box::new(other), data))
+        let (other, data) = outcome.ok()?;
+        Some(NextData::Replaced(Box::new(other), data))
     }
 
-    fn note_waiting(&mut self, cause: &'static str) {
-        if !self.told_waiting {
-            self.told_waiting = true;
+    fn log_waiting(&mut self, cause: &'static str) {
+        if !self.waiting_logged {
+            self.waiting_logged = true;
             let fields = json!({ "cause": cause, "events": self.events });
             self.exchange.log("stream_waits", fields);
         }
     }
 
-    /// Ends the connection to a server from which nothing more is wanted.
-    fn let_go(&self, source: StreamSource, end: StreamEnd) {
+    /// Closes the connection to a server whose stream is no longer needed.
+    fn abandon(&self, source: StreamSource, end: StreamEnd) {
         source.in_flight.end(ServerOutcome::Lost);
-        self.exchange.log("stream_stopped", self.describe(&source, end));
+        self.exchange.log("stream_stopped", self.log_fields(&source, end));
     }
 
-    /// The whole events that have come and were not passed on yet.
-    fn take(&mut self, source: &mut StreamSource, data: &[u8]) -> Vec<StreamEvent> {
+    /// Complete events in `data` that have not been forwarded yet.
+    fn new_events(&mut self, source: &mut StreamSource, data: &[u8]) -> Vec<StreamEvent> {
         let mut events = source.splitter.push(data);
-        source.brought |= !events.is_empty();
+        source.has_events |= !events.is_empty();
         let last = self.last_event;
         events.retain(|event| match (event.id, last) {
             (Some(id), Some(last)) => id > last,
@@ -271,20 +275,20 @@
         events
     }
 
-    /// How far the stream has come, for logs.
-    fn describe(&self, source: &StreamSource, end: StreamEnd) -> serde_json::Value {
+    /// Progress of the stream, for logs.
+    fn log_fields(&self, source: &StreamSource, end: StreamEnd) -> serde_json::Value {
         let now = self.exchange.state.now();
         let millis = |time: Duration| time.as_millis() as u64;
         json!({
             "end": format!("{end:?}"), "events": self.events,
             "server": source.in_flight.server().id,
             "since_event_ms": self.timing.last().map(|last| millis(now.since(last))),
-            "given_ms": millis(source.given.time), "given_by": source.given.limit,
-            "served_ms": millis(now.since(source.taken)),
+            "given_ms": millis(source.time_limit.time), "given_by": source.time_limit.limit,
+            "served_ms": millis(now.since(source.started)),
         })
     }
 
-    /// Another server that goes on; the cause, if there is none.
+    /// Continues the stream on another server; the cause if there is none.
     async fn continue_elsewhere(&mut self, end: StreamEnd) -> Result<StreamSource, &'static str> {
         if !self.exchange.request.repeatable || end == StreamEnd::Deadline {
             return Err("stream_stopped");
@@ -292,7 +296,9 @@
         loop {
             let server = self.exchange.next_server()?;
             let sent = self.exchange.send(server, self.last_event).await;
-            if let Ok(source) = accept(&mut self.exchange, sent, self.last_event, self.status) {
+            if let Ok(source) =
+                accept_continuation(&mut self.exchange, sent, self.last_event, self.status)
+            {
                 return Ok(source);
             }
         }
@@ -313,8 +319,9 @@
     }
 }
 
-/// Has `server` go on after event `last`, until its first bytes are here.
-async fn begin_elsewhere(
+/// Resumes the stream on `server` after event `last` and waits for the first data. If the attempt
+/// fails, the server reserved meanwhile is tried.
+async fn start_on(
     exchange: &mut Exchange,
     mut server: ChosenServer,
     last: Option<u64>,
@@ -322,7 +329,7 @@
 ) -> Result<(StreamSource, Bytes), StreamEnd> {
     let mut source = loop {
         let sent = exchange.send(server, last).await;
-        match accept(exchange, sent, last, status) {
+        match accept_continuation(exchange, sent, last, status) {
             Ok(source) => break source,
             Err(end) => server = exchange.reserved.take().ok_or(end)?,
         }
@@ -333,15 +340,17 @@
         ended => {
             source.in_flight.end(ServerOutcome::Lost);
             if matches!(ended, Ok(Err(StreamEnd::Broken))) {
-                exchange.note_break(source.in_flight.server(), source.ended_run()).await;
+                exchange
+                    .handle_connection_break(source.in_flight.server(), source.ended_run())
+                    .await;
             }
             Err(StreamEnd::Broken)
         }
     }
 }
 
-/// The source of a continued stream, if the server has begun to go on.
-fn accept(
+/// Checks that the server resumes the stream with the same status as before.
+fn accept_continuation(
     exchange: &mut Exchange,
     sent: Result<ServerAnswer, AttemptFailure>,
     last: Option<u64>,
@@ -360,8 +369,8 @@
             Err(StreamEnd::Broken)
         }
         Err(failure) => {
-            // Streams that come here may be repeated, so that every failure allows another sending.
-            let _ = exchange.note_failure(&failure);
+            // Only repeatable streams get here, so that every failure permits another attempt.
+            let _ = exchange.record_failure(&failure);
             Err(StreamEnd::Broken)
         }
     }
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are being emptied, as the store and other entries tell it.
+//! Evacuated failure domains, as reported by the store and by other entries.
 
 use headlatch_core::direct::{evacuation::EvacuatedDomains, peers::DomainKey};
 use headlatch_outside::facts::{Fact, FactChange, NamedFact};
@@ -9,15 +9,15 @@
 use crate::{decisions, direct::facts::FactNews};
 
 impl EntryState {
-    /// The failure domains that are being emptied, as far as this entry knows.
+    /// The evacuated failure domains that this entry knows of.
     pub fn evacuated(&self) -> EvacuatedDomains {
         lock(&self.evacuated).clone()
     }
 
-    /// Takes in news about evacuations.
-    pub fn hear_evacuations(&self, news: FactNews) {
-        let mark = news.covered();
-        let (base, facts) = match news {
+    /// Applies an update of the evacuations from the store.
+    pub fn apply_evacuations_update(&self, update: FactNews) {
+        let mark = update.covered();
+        let (base, facts) = match update {
             FactNews::All(list) => {
                 (EvacuatedDomains::default(), list.facts.into_iter().map(FactChange::Set).collect())
             }
@@ -41,16 +41,20 @@
                 Some((DomainKey::from(&domain), false))
             }
         });
-        self.take_evacuated(&base.with_changes(mark, changes));
+        self.merge_evacuated(&base.with_changes(mark, changes));
     }
 
-    /// Takes over the failure domains that are being emptied where that is newer than what is known.
-    pub fn take_evacuated(&self, told: &EvacuatedDomains) {
-        if !lock(&self.evacuated).merge(told) {
+    /// Replaces the evacuated failure domains if `reported` is newer.
+    pub fn merge_evacuated(&self, reported: &EvacuatedDomains) {
+        if !lock(&self.evacuated).merge(reported) {
             return;
         }
-        let names: Vec<String> = told.domains.iter().map(DomainKey::to_string).collect();
-        decisions::note("evacuations", "in_force", json!({ "domains": names, "at": told.mark.0 }));
-        self.servers().set_evacuated_domains(told.domains.clone());
+        let names: Vec<String> = reported.domains.iter().map(DomainKey::to_string).collect();
+        decisions::note(
+            "evacuations",
+            "in_force",
+            json!({ "domains": names, "at": reported.mark.0 }),
+        );
+        self.servers().set_evacuated_domains(reported.domains.clone());
     }
 }
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -1,4 +1,4 @@
-//! The list of servers, as the store and other entries tell it.
+//! List of servers, as reported by the store and by other entries.
 
 use std::{collections::HashSet, net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -14,56 +14,57 @@
 use super::{EntryState, lock};
 use crate::{decisions, direct::facts::FactNews};
 
-/// Time for which this entry may know fewer changes of servers than a peer before it reads them
-/// anew: longer than its watch rests after each change and a slow store takes to answer. That a server
-/// leaves is told at once besides.
-const SERVERS_PATIENCE: Duration = Duration::from_millis(1400);
+/// Maximum time for which this entry may be behind a peer's list of servers before it rereads the
+/// list. It is longer than a watch pauses after each change plus the response time of a slow store.
+/// Servers that leave are announced immediately in addition.
+const MAX_SERVERS_LAG: Duration = Duration::from_millis(1400);
 
-/// The same for the second reader of a failure domain, whose watch rests for 2 s.
-const SECOND_PATIENCE: Duration = Duration::from_millis(3200);
+/// Same for the second reader of a failure domain, whose watch pauses for 2 s.
+const SECOND_READER_MAX_LAG: Duration = Duration::from_millis(3200);
 
-/// News of servers as changes; what cannot be read is written down and left out.
-fn server_changes(news: FactNews, newest: ChangeMark) -> ServerChanges {
-    let covered = news.covered();
-    let (whole, facts) = match news {
+/// Converts an update from the store to server changes; records that can't be parsed are logged and
+/// left out.
+fn server_changes(update: FactNews, newest: ChangeMark) -> ServerChanges {
+    let covered = update.covered();
+    let (whole, facts) = match update {
         FactNews::All(list) => (true, list.facts.into_iter().map(FactChange::Set).collect()),
         FactNews::Changes(changes) => (false, changes.changes),
     };
-    let mut told = ServerChanges { covered, newest, whole, ..ServerChanges::default() };
+    let mut converted = ServerChanges { covered, newest, whole, ..ServerChanges::default() };
     for fact in facts {
         match fact {
             FactChange::Set(NamedFact { revision, fact: Ok(Fact::Server(record)), .. }) => {
-                told.set.push(RevisionedRecord { revision: ChangeMark(revision.0), record });
+                converted.set.push(RevisionedRecord { revision: ChangeMark(revision.0), record });
             }
             FactChange::Set(NamedFact { fact: Ok(_), .. }) => {}
             FactChange::Set(NamedFact { name, revision, fact: Err(error) }) => {
                 let fields = json!({ "name": name, "error": error.to_string() });
                 decisions::warn("servers", "unreadable", fields);
-                // What was there before says nothing any more of what is there now.
+                // The previous record of the server is no longer valid either.
                 if !name.is_empty() {
                     let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                    told.gone.push(RemovedServer { revision, id });
+                    converted.gone.push(RemovedServer { revision, id });
                 }
             }
             FactChange::Gone { name, revision } => {
                 let (id, revision) = (ServerId(name.into()), ChangeMark(revision.0));
-                told.gone.push(RemovedServer { revision, id });
+                converted.gone.push(RemovedServer { revision, id });
             }
         }
     }
-    told
+    converted
 }
 
 impl EntryState {
-    /// Takes in news about servers from the store.
-    pub fn hear_servers(&self, news: FactNews) {
-        let (covered, newest) = (news.covered(), news.newest());
-        self.apply_servers(server_changes(news, newest));
+    /// Applies an update of the list of servers from the store.
+    pub fn apply_servers_update(&self, update: FactNews) {
+        let (covered, newest) = (update.covered(), update.newest());
+        self.apply_servers(server_changes(update, newest));
         lock(&self.servers_age).confirm_from_store(self.now(), covered, newest);
     }
 
-    /// Takes in what another entry has told of servers.
-    pub fn take_server_changes(&self, changes: ServerChanges) {
+    /// Applies server changes from another entry.
+    pub fn merge_server_changes(&self, changes: ServerChanges) {
         if changes.covered <= self.servers_age().covered() {
             return;
         }
@@ -72,7 +73,7 @@
         lock(&self.servers_age).take_list_from_peer(self.now(), covered, newest);
     }
 
-    /// What has changed of the list of servers for an entry that knows everything up to `after`.
+    /// Server changes since `after`, for another entry.
     pub fn server_changes(&self, after: ChangeMark) -> Option<ServerChanges> {
         lock(&self.server_copy).changes_after(after)
     }
@@ -89,7 +90,7 @@
             let fields = json!({ "servers": listed.len(), "at": changes.covered.0 });
             decisions::note("servers", "listed", fields);
         }
-        // One entry of a failure domain writes them down for all of them.
+        // Only one entry of each failure domain logs the changes.
         let notes = self.peers().is_domain_reporter();
         changes.set.iter().cloned().for_each(|marked| self.set_server(marked, notes));
         changes.gone.iter().for_each(|gone| self.remove_server(gone));
@@ -101,32 +102,33 @@
         self.connections.retain(|address| wanted.contains(address));
     }
 
-    /// The newest change of servers that this entry has taken in.
+    /// Mark of the newest server change that this entry has applied.
     pub fn newest_servers(&self) -> ChangeMark {
         lock(&self.servers_age).newest()
     }
 
-    /// A peer has taken in changes of servers up to `newest`; where this entry goes on knowing
-    /// less, its watch has missed something.
-    pub fn hear_peer_servers(&self, newest: ChangeMark) {
+    /// Records that a peer has applied server changes up to `newest`. If this entry stays behind,
+    /// its watch has missed a change and the list is reread.
+    pub fn record_peer_servers_mark(&self, newest: ChangeMark) {
         let now = self.now();
         let rank = self.peers().reader_rank();
         let mut age = lock(&self.servers_age);
         age.record_peer_position(now, newest);
         if age.behind(now).is_some() {
-            self.servers_offered.notify_one();
+            self.newer_servers_offered.notify_one();
         }
-        let is_late = age.stalled(now).is_some_and(|stalled| stalled >= SERVERS_PATIENCE);
-        let patience = if rank == Some(1) { SECOND_PATIENCE } else { SERVERS_PATIENCE };
-        let is_due = (is_late || rank.is_some()) && age.take_due(now, patience);
+        let is_late = age.stalled(now).is_some_and(|stalled| stalled >= MAX_SERVERS_LAG);
+        let max_lag = if rank == Some(1) { SECOND_READER_MAX_LAG } else { MAX_SERVERS_LAG };
+        let is_due = (is_late || rank.is_some()) && age.take_due(now, max_lag);
         drop(age);
         if is_due && !self.awaits_turn() {
-            self.servers_nudge.notify_one();
+            self.servers_refresh.notify_one();
         }
     }
 
-    /// Servers that peers have heard to be leaving: they get nothing more here either.
-    pub fn hear_leaving(&self, leaving: &[LeavingNotice]) {
+    /// Marks servers that peers report as leaving; they get no more requests from this entry
+    /// either.
+    pub fn merge_leaving(&self, leaving: &[LeavingNotice]) {
         let now = self.now();
         for notice in leaving {
             if self.servers().merge_leaving(now, *notice) {
--- a/crates/daemon/tests/harmful_requests.rs
+++ b/crates/daemon/tests/harmful_requests.rs
@@ -1,20 +1,13 @@
-//! One caller's request ended every server that began to run it, for forty seconds, and callers of
-//! sound requests lost their answers with the servers.
+//! Guards against one caller's request that crashes every server that starts to run it, so that
+//! callers of harmless requests lose their answers too.
 //!
-//! Attempts and retries were counted by request and by entry. The same content came again under a new
-//! id, at any entry, and started from nothing: it was sent to a server, which ended, then the stream
-//! was continued at a second one, which ended as well. Servers were back some seconds later and were
-//! chosen again. On one day 55 servers ended under one content; four steps of one coming of it, and
-//! what others met:
-//!
-//! ```text
-//! stream_stopped  attempt 1, end Broken, events 0, served_ms 102
-//! server_chosen   attempt 1
-//! stream_stopped  attempt 2, end Broken, events 0, served_ms 110
-//! stream_cut      cause attempts_used
-//! attempt_failed  not_connected: Connection refused
-//! given_up        cause servers_full
-//! ```
+//! Attempts and retries were counted per request and per entry. The same content arrived again
+//! under a new id, at any entry, and started with a full set of attempts: it crashed one server,
+//! the stream was continued on a second one, and that crashed as well. Servers were back some
+//! seconds later and were selected again. This went on for 40 s, and 55 servers crashed because of
+//! one content. The log of one such request shows two attempts that end `Broken` with 0 events
+//! after 102 and 110 ms, then `stream_cut` with cause `attempts_used`; other requests fail with
+//! `not_connected` (connection refused) and `servers_full`.
 
 mod support;
 
@@ -38,19 +31,19 @@
     record, settings,
 };
 
-/// An entry before servers that a harmful request ends.
-struct Setting {
+/// An entry in front of servers that a harmful request crashes.
+struct Fixture {
     entry: DirectEntry,
     servers: Vec<MortalServer>,
     store: Arc<TestStore>,
 }
 
-impl Setting {
+impl Fixture {
     async fn new(count: usize) -> Self {
-        Self::keeping(count, Arc::default()).await
+        Self::with_quarantines(count, Arc::default()).await
     }
 
-    async fn keeping(count: usize, kept: Arc<KeptList>) -> Self {
+    async fn with_quarantines(count: usize, kept: Arc<KeptList>) -> Self {
         let store = Arc::new(TestStore::default());
         store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
         let mut servers = Vec::new();
@@ -62,8 +55,9 @@
             servers.push(server);
         }
         let headers = Arc::new(TestHeaders);
-        let entry = DirectEntry::start_keeping(settings(), store.clone(), headers, kept).await;
-        let entry = entry.expect("it starts");
+        let entry =
+            DirectEntry::start_with_quarantines(settings(), store.clone(), headers, kept).await;
+        let entry = entry.expect("entry starts");
         while !entry.state.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -75,7 +69,7 @@
     }
 
     /// Sends a harmful request until it is refused.
-    async fn have_it_refused(&self) {
+    async fn quarantine_harmful_request(&self) {
         let refused = |answer: &CallAnswer| answer.status == StatusCode::SERVICE_UNAVAILABLE;
         for _ in 0..3 {
             if self.ask("/stream/harmful").await.as_ref().is_ok_and(refused) {
@@ -84,112 +78,113 @@
         }
     }
 
-    fn ended(&self) -> usize {
+    fn ended_servers(&self) -> usize {
         self.servers.iter().filter(|server| server.has_ended()).count()
     }
 }
 
-fn is_whole(answer: &std::result::Result<CallAnswer, String>) -> bool {
+fn is_complete(answer: &std::result::Result<CallAnswer, String>) -> bool {
     let last = |answer: &CallAnswer| String::from_utf8_lossy(&answer.body).contains("piece 20\n");
     answer.as_ref().is_ok_and(|answer| answer.status == StatusCode::OK && last(answer))
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_ends_its_servers_is_not_sent_to_more_and_more_of_them() {
-    let setting = Setting::new(6).await;
+async fn a_request_that_crashes_servers_is_not_sent_to_ever_more_of_them() {
+    let fixture = Fixture::new(6).await;
     for coming in 0..8 {
-        let answer = setting.ask("/stream/harmful").await;
-        expect_that!(is_whole(&answer), eq(false), "coming {coming}");
+        let answer = fixture.ask("/stream/harmful").await;
+        expect_that!(is_complete(&answer), eq(false), "coming {coming}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    expect_that!(setting.ended(), le(3));
+    expect_that!(fixture.ended_servers(), le(3));
     for number in 0..6 {
-        let answer = setting.ask(&format!("/stream/sound{number}")).await;
-        expect_that!(is_whole(&answer), eq(true), "sound request {number}: {answer:?}");
+        let answer = fixture.ask(&format!("/stream/sound{number}")).await;
+        expect_that!(is_complete(&answer), eq(true), "sound request {number}: {answer:?}");
     }
 }
 
 fn unix_now() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.expect("it is past 1970").as_millis() as u64
+    since.expect("clock is after 1970").as_millis() as u64
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_servers_ended_under_is_refused_at_once_and_not_asked_back_soon() {
-    let setting = Setting::new(4).await;
-    setting.have_it_refused().await;
+async fn a_quarantined_request_is_refused_at_once_with_a_long_retry_after() {
+    let fixture = Fixture::new(4).await;
+    fixture.quarantine_harmful_request().await;
     let begun = tokio::time::Instant::now();
-    let answer = setting.ask("/stream/harmful").await.expect("an answer");
+    let answer = fixture.ask("/stream/harmful").await.expect("response");
     expect_that!(begun.elapsed(), lt(Duration::from_millis(100)));
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     let rest = answer.headers.get("retry-after").and_then(|value| value.to_str().ok());
     expect_that!(rest.and_then(|rest| rest.parse::<f64>().ok()), some(ge(60.0)));
-    // The same path with another query is the same content, whatever the caller adds to it.
-    let answer = setting.ask("/stream/harmful?try=3").await.expect("an answer");
+    // The same path with another query counts as the same content, since callers may add
+    // parameters.
+    let answer = fixture.ask("/stream/harmful?try=3").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(setting.ended(), eq(3));
+    expect_that!(fixture.ended_servers(), eq(3));
 }
 
-/// The servers of a service are lost in one moment, with sound streams at all of them.
+/// Several servers of a service are lost at once while all of them run harmless streams.
 #[gtest]
 #[tokio::test]
 async fn sound_requests_are_served_again_after_their_servers_were_lost_together() {
-    let setting = Setting::new(6).await;
+    let fixture = Fixture::new(6).await;
     let paths: Vec<String> = (0..12).map(|number| format!("/stream/sound{number}")).collect();
-    let asked = futures_util::future::join_all(paths.iter().map(|path| setting.ask(path)));
+    let asked = futures_util::future::join_all(paths.iter().map(|path| fixture.ask(path)));
     let lost = async {
         for wave in [0..2, 2..4] {
             tokio::time::sleep(Duration::from_millis(70)).await;
-            setting.servers[wave].iter().for_each(MortalServer::end);
+            fixture.servers[wave].iter().for_each(MortalServer::end);
         }
     };
     let _ = tokio::join!(asked, lost);
-    expect_that!(setting.ended(), eq(4));
-    expect_that!(setting.entry.state.quarantine.refused(setting.entry.state.now()), is_empty());
+    expect_that!(fixture.ended_servers(), eq(4));
+    expect_that!(fixture.entry.state.quarantine.refused(fixture.entry.state.now()), is_empty());
     tokio::time::sleep(Duration::from_millis(700)).await;
     for path in &paths {
-        expect_that!(is_whole(&setting.ask(path).await), eq(true), "{path}");
+        expect_that!(is_complete(&fixture.ask(path).await), eq(true), "{path}");
     }
 }
 
-/// A server that is told to leave ends in the middle of what it still has.
+/// A draining server ends in the middle of its remaining requests.
 #[gtest]
 #[tokio::test]
-async fn the_planned_end_of_a_server_is_no_suspicion() {
-    let setting = Setting::new(2).await;
-    let server = &setting.servers[0];
+async fn a_planned_shutdown_of_a_server_raises_no_suspicion() {
+    let fixture = Fixture::new(2).await;
+    let server = &fixture.servers[0];
     let draining = ServerRecord { draining: true, ..record("i0", server.address, "z1") };
     let asked = (0..6).map(|number| format!("/stream/sound{number}"));
     let asked: Vec<_> = asked.collect();
-    let asked = futures_util::future::join_all(asked.iter().map(|path| setting.ask(path)));
+    let asked = futures_util::future::join_all(asked.iter().map(|path| fixture.ask(path)));
     let ends = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        setting.store.set(FactTopic::Servers, "i0", Fact::Server(draining));
+        fixture.store.set(FactTopic::Servers, "i0", Fact::Server(draining));
         tokio::time::sleep(Duration::from_millis(50)).await;
         server.end();
     };
     let _ = tokio::join!(asked, ends);
     expect_that!(server.seen(), not(is_empty()));
-    let now = setting.entry.state.now();
-    expect_that!(setting.entry.state.quarantine.notices(now), is_empty());
+    let now = fixture.entry.state.now();
+    expect_that!(fixture.entry.state.quarantine.notices(now), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn another_entry_refuses_what_it_is_told_of_from_the_first_coming_on() {
-    let (first, second) = (Setting::new(4).await, Setting::new(3).await);
-    first.have_it_refused().await;
-    expect_that!(first.ended(), eq(3));
+async fn another_entry_refuses_a_reported_request_from_the_start() {
+    let (first, second) = (Fixture::new(4).await, Fixture::new(3).await);
+    first.quarantine_harmful_request().await;
+    expect_that!(first.ended_servers(), eq(3));
     let told = first.entry.state.quarantine.notices(first.entry.state.now());
-    second.entry.state.quarantine.hear(second.entry.state.now(), &told);
-    let answer = second.ask("/stream/harmful").await.expect("an answer");
+    second.entry.state.quarantine.merge_notices(second.entry.state.now(), &told);
+    let answer = second.ask("/stream/harmful").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(second.ended(), eq(0));
+    expect_that!(second.ended_servers(), eq(0));
 }
 
-/// The digest of what the tests' caller asks for.
+/// Digest of a request that the test caller sends.
 fn digest_of(path: &str) -> RequestDigest {
     let content = RequestContent {
         caller: Some("t"),
@@ -202,16 +197,16 @@
     RequestDigests::of(&content).whole
 }
 
-/// A copy that still waits for its server elsewhere is taken back from it.
+/// An attempt that still waits for a response is cancelled when another entry reports the request.
 #[gtest]
 #[tokio::test]
-async fn a_sending_that_has_not_begun_is_stopped_once_the_request_is_refused() {
-    let setting = Setting::new(2).await;
+async fn an_attempt_without_a_response_is_cancelled_once_the_request_is_refused() {
+    let fixture = Fixture::new(2).await;
     let slow = EventPace { head: Duration::from_secs(5), ..EventPace::default() };
     let server = MortalServer::start(slow).await;
     for (name, server) in [("i0", &server), ("i1", &server)] {
         let fact = Fact::Server(record(name, server.address, "z1"));
-        setting.store.set(FactTopic::Servers, name, fact);
+        fixture.store.set(FactTopic::Servers, name, fact);
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     let begun = tokio::time::Instant::now();
@@ -219,23 +214,23 @@
         while server.seen().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let state = &setting.entry.state;
+        let state = &fixture.entry.state;
         let left = Duration::from_secs(60);
-        state.quarantine.note_kept(state.now(), digest_of("/stream/sound"), left);
+        state.quarantine.restore(state.now(), digest_of("/stream/sound"), left);
     };
-    let (answer, ()) = tokio::join!(setting.ask("/stream/sound"), refuse);
+    let (answer, ()) = tokio::join!(fixture.ask("/stream/sound"), refuse);
     expect_that!(begun.elapsed(), lt(Duration::from_secs(2)));
-    expect_that!(answer.expect("an answer").status, eq(StatusCode::BAD_GATEWAY));
+    expect_that!(answer.expect("response").status, eq(StatusCode::BAD_GATEWAY));
 }
 
 /// All entries may be killed at once, and none has a disk.
 #[gtest]
 #[tokio::test]
-async fn a_quarantine_outlasts_all_entries_in_the_store() {
+async fn a_quarantine_survives_the_restart_of_all_entries() {
     let kept = Arc::new(KeptList::default());
     kept.fail(1);
-    let first = Setting::keeping(4, kept.clone()).await;
-    first.have_it_refused().await;
+    let first = Fixture::with_quarantines(4, kept.clone()).await;
+    first.quarantine_harmful_request().await;
     while kept.kept().is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -243,49 +238,49 @@
     expect_that!(until, all![gt(unix_now() + 500_000), le(unix_now() + 600_000)]);
     drop(first);
     let over = KeptQuarantine { digest: RequestDigest(7), until: UnixMillis(unix_now() - 1) };
-    kept.change(|kept| kept.push(over)).expect("it is taken");
-    let second = Setting::keeping(3, kept.clone()).await;
+    kept.change(|kept| kept.push(over)).expect("record is stored");
+    let second = Fixture::with_quarantines(3, kept.clone()).await;
     while second.entry.state.quarantine.refused(second.entry.state.now()).is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let answer = second.ask("/stream/harmful").await.expect("an answer");
+    let answer = second.ask("/stream/harmful").await.expect("response");
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    expect_that!(second.ended(), eq(0));
-    // What is over is kept no longer.
+    expect_that!(second.ended_servers(), eq(0));
+    // Expired records are removed.
     while kept.kept().len() > 1 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn admin(setting: &Setting, method: Method, path: &str) -> CallAnswer {
+async fn admin(fixture: &Fixture, method: Method, path: &str) -> CallAnswer {
     let request = CallRequest::get(path).sending(method, HeaderMap::new(), "".into());
     let connections = Connections::default();
-    let called = connections.call(setting.entry.admin, request, 1 << 20, Duration::from_secs(5));
-    called.await.expect("an answer")
+    let called = connections.call(fixture.entry.admin, request, 1 << 20, Duration::from_secs(5));
+    called.await.expect("response")
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_operator_sees_what_is_refused_and_can_lift_it() {
     let kept = Arc::new(KeptList::default());
-    let setting = Setting::keeping(6, kept.clone()).await;
-    setting.have_it_refused().await;
-    let shown = admin(&setting, Method::GET, "/quarantine").await;
+    let fixture = Fixture::with_quarantines(6, kept.clone()).await;
+    fixture.quarantine_harmful_request().await;
+    let shown = admin(&fixture, Method::GET, "/quarantine").await;
     let shown: serde_json::Value = serde_json::from_slice(&shown.body).expect("JSON");
-    let digest = shown[0]["content"].as_str().expect("a digest").to_owned();
+    let digest = shown[0]["content"].as_str().expect("digest").to_owned();
     expect_that!(shown[0]["ends"].as_u64(), some(eq(3)));
     expect_that!(shown[0]["left_s"].as_u64(), some(ge(590)));
-    let bad = admin(&setting, Method::DELETE, "/quarantine/none").await;
+    let bad = admin(&fixture, Method::DELETE, "/quarantine/none").await;
     expect_that!(bad.status, eq(StatusCode::BAD_REQUEST));
-    let lifted = admin(&setting, Method::DELETE, &format!("/quarantine/{digest}")).await;
+    let lifted = admin(&fixture, Method::DELETE, &format!("/quarantine/{digest}")).await;
     expect_that!(lifted.status, eq(StatusCode::OK));
-    let again = admin(&setting, Method::DELETE, &format!("/quarantine/{digest}")).await;
+    let again = admin(&fixture, Method::DELETE, &format!("/quarantine/{digest}")).await;
     expect_that!(again.status, eq(StatusCode::NOT_FOUND));
-    expect_that!(&admin(&setting, Method::GET, "/quarantine").await.body[..], eq(b"[]\n"));
+    expect_that!(&admin(&fixture, Method::GET, "/quarantine").await.body[..], eq(b"[]\n"));
     while !kept.kept().is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // It is tried again, and judged anew.
-    setting.have_it_refused().await;
-    expect_that!(setting.ended(), eq(6));
+    // The request is tried again and judged from the start.
+    fixture.quarantine_harmful_request().await;
+    expect_that!(fixture.ended_servers(), eq(6));
 }
