--- a/crates/bench/src/routing/world.rs
+++ b/crates/bench/src/routing/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use headlatch_core::{
-    admission::{Admission, FairQueue, RunningLimit, ShareTerms, TicketNumber},
+    admission::{Admission, ConcurrencyLimit, FairQueue, OrganisationQuota, RequestNumber},
     retry::RetryBudget,
     routing::{Candidate, EndpointPicker},
     time::Moment,
@@ -66,7 +66,7 @@
 struct Entry {
     picker: EndpointPicker,
     queue: FairQueue,
-    limit: RunningLimit,
+    limit: ConcurrencyLimit,
     budget: RetryBudget,
     turn: usize,
 }
@@ -152,7 +152,7 @@
                 domain_name(nth % options.domains),
                 SmallRng::seed_from_u64(rng.random()),
             ),
-            limit: RunningLimit::new(4, part as u32),
+            limit: ConcurrencyLimit::new(4, part as u32),
             queue: FairQueue::new(part.max(4.0) as u32, QUEUE_LENGTH, QUEUE_TIME),
             budget: RetryBudget::new(Moment::ZERO),
             turn: nth,
@@ -217,7 +217,7 @@
                 self.hear(now, request, engine);
                 let entry = &mut self.entries[self.requests[request].entry];
                 if !self.engines[engine].leaving {
-                    entry.limit.note_busy(now);
+                    entry.limit.record_busy(now);
                     entry.queue.resize(entry.limit.get());
                 }
                 self.fail(now, request, engine, RunVerdict::NotRun, attempt, false);
@@ -275,9 +275,9 @@
         }
         self.failed_at[now.seconds() as usize].0 += 1;
         let name = self.organisations[organisation].clone();
-        let terms = ShareTerms { share: 1, most_in_progress: None };
-        let number = TicketNumber(request as u64);
-        match self.entries[entry].queue.arrive(now, number, &name, terms) {
+        let terms = OrganisationQuota { share: 1, max_in_progress: None };
+        let number = RequestNumber(request as u64);
+        match self.entries[entry].queue.admit(now, number, &name, terms) {
             Admission::Run => self.attempt(now, request),
             Admission::Wait => self.queue.after(QUEUE_TIME, RoutingEvent::Expire(entry)),
             Admission::Refuse(_) => self.settle(now, request, RunVerdict::NotRun),
--- a/crates/bench/src/routing/world/attempts.rs
+++ b/crates/bench/src/routing/world/attempts.rs
@@ -1,6 +1,6 @@
 //! The way of a request: attempts, what becomes of them, and what callers are told.
 
-use headlatch_core::{admission::ShareTerms, routing::Candidate, time::Moment};
+use headlatch_core::{admission::OrganisationQuota, routing::Candidate, time::Moment};
 use headlatch_types::{
     RunVerdict,
     verdict::{Repeatability, RetryPermit},
@@ -17,7 +17,7 @@
     pub(super) fn attempt(&mut self, now: Moment, request: usize) {
         if self.requests[request].attempts == 0 {
             let entry = self.requests[request].entry;
-            self.entries[entry].budget.earn(now);
+            self.entries[entry].budget.deposit(now);
         }
         let Some(engine) = self.choose(now, request) else {
             self.release(now, request);
@@ -28,7 +28,7 @@
         one.attempts += 1;
         let id = self.candidates[engine].id.clone();
         one.tried.push(id.clone());
-        self.entries[one.entry].picker.begin(&id);
+        self.entries[one.entry].picker.start_request(&id);
         self.queue.after(LATENCY, RoutingEvent::Reach { request, engine });
     }
 
@@ -76,7 +76,7 @@
         let tokens = self.requests[request].tokens;
         self.requests[request].ran += 1;
         let entry = &mut self.entries[self.requests[request].entry];
-        entry.limit.note_run();
+        entry.limit.record_accepted();
         entry.queue.resize(entry.limit.get());
         self.hear(now, request, engine);
         if self.counts(request) {
@@ -92,7 +92,7 @@
     pub(super) fn hear(&mut self, now: Moment, request: usize, engine: usize) {
         let running = self.engines[engine].running;
         let id = &self.candidates[engine].id;
-        self.entries[self.requests[request].entry].picker.report(now, id, running);
+        self.entries[self.requests[request].entry].picker.record_load(now, id, running);
     }
 
     pub(super) fn finish(&mut self, now: Moment, request: usize, engine: usize, attempt: u32) {
@@ -108,8 +108,8 @@
         }
         let entry = self.requests[request].entry;
         let id = &self.candidates[engine].id;
-        self.entries[entry].picker.end(id);
-        self.entries[entry].picker.succeed(id);
+        self.entries[entry].picker.finish_request(id);
+        self.entries[entry].picker.record_success(id);
         self.release(now, request);
         self.settle(now, request, RunVerdict::Ran);
     }
@@ -129,14 +129,14 @@
         }
         let (entry, once, attempts) = (one.entry, one.once, one.attempts);
         let id = self.candidates[engine].id.clone();
-        self.entries[entry].picker.end(&id);
+        self.entries[entry].picker.finish_request(&id);
         if blame {
-            self.entries[entry].picker.fail(now, &id);
+            self.entries[entry].picker.record_failure(now, &id);
         }
         let repeatability = if once { Repeatability::Once } else { Repeatability::Repeatable };
         let again = attempts < MOST_ATTEMPTS
             && RetryPermit::after(verdict, repeatability).is_some()
-            && self.entries[entry].budget.spend(now);
+            && self.entries[entry].budget.try_withdraw(now);
         let joined = verdict.after(self.requests[request].verdict);
         self.requests[request].verdict = Some(joined);
         if again {
@@ -151,9 +151,9 @@
     pub(super) fn release(&mut self, now: Moment, request: usize) {
         let one = &self.requests[request];
         let (entry, organisation) = (one.entry, one.organisation);
-        let terms = ShareTerms { share: 1, most_in_progress: None };
-        self.entries[entry].queue.end(&self.organisations[organisation]);
-        let released = self.entries[entry].queue.release(|_| terms);
+        let terms = OrganisationQuota { share: 1, max_in_progress: None };
+        self.entries[entry].queue.finish(&self.organisations[organisation]);
+        let released = self.entries[entry].queue.dequeue(|_| terms);
         for number in released {
             self.attempt(now, number.0 as usize);
         }
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -9,7 +9,7 @@
 use headlatch_core::{
     config::{ConfigHolder, FleetObject},
     hash::ranking,
-    membership::{GOSSIP_PAUSE, GossipPacket, NodeKind, NodeRecord, NodeTable, RUMOUR_FANOUT},
+    membership::{GOSSIP_INTERVAL, GossipPacket, NodeKind, NodeRecord, NodeTable, URGENT_FANOUT},
     time::Moment,
 };
 use headlatch_daemon::node::codec;
@@ -182,10 +182,10 @@
         let addresses: Vec<SocketAddr> = (0..count).map(address).collect();
         for nth in 0..count {
             let mut table = NodeTable::new(world.record(nth));
-            table.seed(addresses.clone());
+            table.set_seeds(addresses.clone());
             world.index.insert(addresses[nth], nth);
             world.tables.push(table);
-            let spread = GOSSIP_PAUSE.mul_f64(world.rng.random::<f64>());
+            let spread = GOSSIP_INTERVAL.mul_f64(world.rng.random::<f64>());
             world.queue.after(spread, SpreadEvent::Tick(nth));
         }
         for apply in 0..options.applies {
@@ -237,7 +237,7 @@
             SpreadEvent::Tick(nth) => {
                 self.tables[nth].expire(now);
                 self.gossip(now, nth, 1);
-                self.queue.after(GOSSIP_PAUSE, SpreadEvent::Tick(nth));
+                self.queue.after(GOSSIP_INTERVAL, SpreadEvent::Tick(nth));
             }
             SpreadEvent::Packet { to, from, packet } => self.receive(now, to, from, packet),
             SpreadEvent::Fetch { by, from } => self.fetch(now, by, from),
@@ -248,10 +248,10 @@
 
     fn gossip(&mut self, now: Moment, nth: usize, packets: usize) {
         for _ in 0..packets {
-            let target = self.tables[nth].target(now, &mut self.rng);
+            let target = self.tables[nth].choose_target(now, &mut self.rng);
             // Clocks differ by some seconds.
             let beat = now.seconds() as u32 + (nth % 5) as u32;
-            let packet = self.tables[nth].packet(beat);
+            let packet = self.tables[nth].next_packet(beat);
             let to = target.and_then(|target| self.index.get(&target).copied());
             if let Some(to) = to {
                 self.send(now, nth, to, packet);
@@ -271,20 +271,20 @@
     }
 
     fn receive(&mut self, now: Moment, to: usize, from: usize, packet: GossipPacket) {
-        let mut answers = self.tables[to].answers(&packet);
+        let mut answers = self.tables[to].replies(&packet);
         let outcome = self.tables[to].merge(now, packet);
-        if !outcome.unknown.is_empty() {
-            answers.push(self.tables[to].ask(outcome.unknown));
+        if !outcome.missing_records.is_empty() {
+            answers.push(self.tables[to].request_records(outcome.missing_records));
         }
         for answer in answers {
             self.send(now, to, from, answer);
         }
-        if let Some((_, address)) = outcome.newest {
+        if let Some((_, address)) = outcome.newest_config {
             let from = self.index[&address];
             self.queue.after(LATENCY * 2, SpreadEvent::Fetch { by: to, from });
         }
         if outcome.urgent {
-            self.gossip(now, to, RUMOUR_FANOUT);
+            self.gossip(now, to, URGENT_FANOUT);
         }
     }
 
@@ -353,7 +353,7 @@
             self.times.push(now.since(self.accepted).as_secs_f64());
         }
         self.tables[nth].update(|own| own.revision = after);
-        self.gossip(now, nth, RUMOUR_FANOUT);
+        self.gossip(now, nth, URGENT_FANOUT);
     }
 
     fn report(mut self, end: Moment, wall: f64) -> SpreadReport {
@@ -369,7 +369,9 @@
         let alive: usize = self
             .tables
             .iter()
-            .map(|table| table.living(end).filter(|one| one.domain == table.own().domain).count())
+            .map(|table| {
+                table.alive_nodes(end).filter(|one| one.domain == table.own().domain).count()
+            })
             .sum();
         let pairs: usize = (0..nodes)
             .map(|nth| {
--- a/crates/client/src/commands/apply.rs
+++ b/crates/client/src/commands/apply.rs
@@ -59,14 +59,14 @@
 ) -> ApplyOutcome {
     let text = serde_json::to_string(object).expect("a fleet object has only string keys");
     let mut apply = FleetApply::new(id.clone(), on);
-    let mut step = apply.begin();
+    let mut step = apply.start();
     loop {
         let event = match step {
             ApplyStep::Done(outcome) => return outcome,
             ApplyStep::Read => read(store).await,
             ApplyStep::Write(revision) => write(store, revision, text.clone()).await,
         };
-        if matches!(event, ApplyEvent::Failed | ApplyEvent::Unclear) {
+        if matches!(event, ApplyEvent::Failed | ApplyEvent::WriteUnknown) {
             tokio::time::sleep(FAILURE_PAUSE).await;
         }
         step = apply.handle(event);
@@ -94,8 +94,8 @@
     };
     match store.write(FLEET_KEY, condition, text).await {
         Ok(WriteOutcome::Written(version)) => ApplyEvent::Written(ConfigRevision::new(version)),
-        Ok(WriteOutcome::Conflict) => ApplyEvent::Refused,
-        Ok(WriteOutcome::Unknown) => ApplyEvent::Unclear,
+        Ok(WriteOutcome::Conflict) => ApplyEvent::WriteConflict,
+        Ok(WriteOutcome::Unknown) => ApplyEvent::WriteUnknown,
         Err(_) => ApplyEvent::Failed,
     }
 }
--- a/crates/client/src/demo/waiting.rs
+++ b/crates/client/src/demo/waiting.rs
@@ -30,7 +30,7 @@
     loop {
         let entries = cluster.entries.iter().map(|entry| &entry.node);
         let nodes = entries.chain(cluster.agents.iter().map(|agent| &agent.node));
-        if nodes.into_iter().all(|node| node.table().living(node.now()).count() >= others) {
+        if nodes.into_iter().all(|node| node.table().alive_nodes(node.now()).count() >= others) {
             return Ok(());
         }
         sleep(deadline, "the nodes did not find each other").await?;
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -10,10 +10,10 @@
 use crate::time::Moment;
 
 /// Least time between two cuts of a limit: refusals come in crowds that tell of one shortage.
-const CUT_PAUSE: Duration = Duration::from_secs(2);
+const DECREASE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What is left of a limit after a cut.
-const CUT_FACTOR: f64 = 0.97;
+const DECREASE_FACTOR: f64 = 0.97;
 
 /// How many requests an entry lets run, learnt from its endpoints' refusals.
 ///
@@ -21,36 +21,36 @@
 /// full, so that under overload requests wait in the fair queue instead of being refused at
 /// random by whichever endpoint they happen to meet.
 #[derive(Debug, Clone)]
-pub struct RunningLimit {
+pub struct ConcurrencyLimit {
     limit: f64,
-    least: f64,
-    most: f64,
-    cut_at: Moment,
+    min: f64,
+    max: f64,
+    decreased_at: Moment,
 }
 
-impl RunningLimit {
+impl ConcurrencyLimit {
     /// A limit between `least` and `most`, which begins at `most`.
-    pub fn new(least: u32, most: u32) -> Self {
-        let (least, most) = (f64::from(least), f64::from(most.max(least)));
-        Self { limit: most, least, most, cut_at: Moment::ZERO }
+    pub fn new(min: u32, max: u32) -> Self {
+        let (min, max) = (f64::from(min), f64::from(max.max(min)));
+        Self { limit: max, min, max, decreased_at: Moment::ZERO }
     }
 
     /// Changes the most it may rise to.
-    pub fn set_most(&mut self, most: u32) {
-        self.most = f64::from(most).max(self.least);
-        self.limit = self.limit.min(self.most);
+    pub fn set_max(&mut self, max: u32) {
+        self.max = f64::from(max).max(self.min);
+        self.limit = self.limit.min(self.max);
     }
 
     /// An endpoint took a request.
-    pub fn note_run(&mut self) {
-        self.limit = (self.limit + 1.0 / self.limit).min(self.most);
+    pub fn record_accepted(&mut self) {
+        self.limit = (self.limit + 1.0 / self.limit).min(self.max);
     }
 
     /// An endpoint was full.
-    pub fn note_busy(&mut self, now: Moment) {
-        if now.since(self.cut_at) >= CUT_PAUSE {
-            self.cut_at = now;
-            self.limit = (self.limit * CUT_FACTOR).max(self.least);
+    pub fn record_busy(&mut self, now: Moment) {
+        if now.since(self.decreased_at) >= DECREASE_INTERVAL {
+            self.decreased_at = now;
+            self.limit = (self.limit * DECREASE_FACTOR).max(self.min);
         }
     }
 
@@ -62,15 +62,15 @@
 
 /// Number of a request that waits or runs, given by its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TicketNumber(pub u64);
+pub struct RequestNumber(pub u64);
 
 /// What an organisation may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShareTerms {
+pub struct OrganisationQuota {
     /// Its part of the capacity, relative to the others.
     pub share: u32,
     /// Most requests in progress.
-    pub most_in_progress: Option<u32>,
+    pub max_in_progress: Option<u32>,
 }
 
 /// Why a request was refused; it certainly did not run.
@@ -79,7 +79,7 @@
     /// Too many requests wait already.
     QueueFull,
     /// It waited too long.
-    WaitedTooLong,
+    QueueTimeout,
 }
 
 /// What became of an arrival.
@@ -87,28 +87,28 @@
 pub enum Admission {
     /// It may run now.
     Run,
-    /// It waits; [`FairQueue::release`] or [`FairQueue::expire`] will name it.
+    /// It waits; [`FairQueue::dequeue`] or [`FairQueue::expire`] will name it.
     Wait,
     /// It is refused.
     Refuse(RefusalReason),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct WaitingTicket {
-    number: TicketNumber,
-    until: Moment,
+struct QueuedRequest {
+    number: RequestNumber,
+    deadline: Moment,
 }
 
 #[derive(Debug, Clone, Default)]
-struct OrganisationLine {
+struct OrganisationQueue {
     running: u32,
-    waiting: VecDeque<WaitingTicket>,
+    waiting: VecDeque<QueuedRequest>,
     /// Virtual time at which its next request is due.
-    due: u64,
+    start_tag: u64,
 }
 
 /// Virtual time that one request of a share of 1 takes.
-const STEP: u64 = 1 << 20;
+const VIRTUAL_COST: u64 = 1 << 20;
 
 /// Lets requests run up to a limit and shares the limit between organisations.
 ///
@@ -118,32 +118,32 @@
 /// that shares hold overall without a counter between them.
 #[derive(Debug, Clone)]
 pub struct FairQueue {
-    lines: BTreeMap<OrganisationName, OrganisationLine>,
-    most_running: u32,
-    most_waiting: usize,
-    longest_wait: Duration,
+    queues: BTreeMap<OrganisationName, OrganisationQueue>,
+    max_running: u32,
+    max_waiting: usize,
+    max_wait: Duration,
     running: u32,
     waiting: usize,
-    clock: u64,
+    virtual_time: u64,
 }
 
 impl FairQueue {
     /// A queue that lets `most_running` requests run and `most_waiting` wait for `longest_wait`.
-    pub fn new(most_running: u32, most_waiting: usize, longest_wait: Duration) -> Self {
+    pub fn new(max_running: u32, max_waiting: usize, max_wait: Duration) -> Self {
         Self {
-            lines: BTreeMap::new(),
-            most_running,
-            most_waiting,
-            longest_wait,
+            queues: BTreeMap::new(),
+            max_running,
+            max_waiting,
+            max_wait,
             running: 0,
             waiting: 0,
-            clock: 0,
+            virtual_time: 0,
         }
     }
 
     /// Changes how many requests may run.
-    pub fn resize(&mut self, most_running: u32) {
-        self.most_running = most_running;
+    pub fn resize(&mut self, max_running: u32) {
+        self.max_running = max_running;
     }
 
     /// Requests that run and that wait.
@@ -152,79 +152,81 @@
     }
 
     /// A request has come.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Moment,
-        number: TicketNumber,
+        number: RequestNumber,
         organisation: &OrganisationName,
-        terms: ShareTerms,
+        quota: OrganisationQuota,
     ) -> Admission {
-        let clock = self.clock;
-        let line = self.lines.entry(organisation.clone()).or_default();
-        let own_room = terms.most_in_progress.is_none_or(|most| line.running < most);
-        if self.running < self.most_running && self.waiting == 0 && own_room {
-            line.start(clock, terms);
+        let virtual_time = self.virtual_time;
+        let queue = self.queues.entry(organisation.clone()).or_default();
+        let below_limit = quota.max_in_progress.is_none_or(|max| queue.running < max);
+        if self.running < self.max_running && self.waiting == 0 && below_limit {
+            queue.start(virtual_time, quota);
             self.running += 1;
             return Admission::Run;
         }
         // A full queue is shared as well: whoever has more than its part waiting is refused.
-        let part = self.most_waiting / self.lines.len().max(1);
-        let line = self.lines.entry(organisation.clone()).or_default();
-        if self.waiting >= self.most_waiting && line.waiting.len() >= part.max(1)
-            || self.waiting >= self.most_waiting * 2
+        let queue_share = self.max_waiting / self.queues.len().max(1);
+        let queue = self.queues.entry(organisation.clone()).or_default();
+        if self.waiting >= self.max_waiting && queue.waiting.len() >= queue_share.max(1)
+            || self.waiting >= self.max_waiting * 2
         {
             return Admission::Refuse(RefusalReason::QueueFull);
         }
-        line.waiting.push_back(WaitingTicket { number, until: now + self.longest_wait });
+        queue.waiting.push_back(QueuedRequest { number, deadline: now + self.max_wait });
         self.waiting += 1;
         Admission::Wait
     }
 
     /// A request has ended.
-    pub fn end(&mut self, organisation: &OrganisationName) {
+    pub fn finish(&mut self, organisation: &OrganisationName) {
         self.running = self.running.saturating_sub(1);
-        if let Some(line) = self.lines.get_mut(organisation) {
-            line.running = line.running.saturating_sub(1);
+        if let Some(queue) = self.queues.get_mut(organisation) {
+            queue.running = queue.running.saturating_sub(1);
         }
     }
 
     /// A request that waits has been given up by its caller.
-    pub fn leave(&mut self, organisation: &OrganisationName, number: TicketNumber) {
-        if let Some(line) = self.lines.get_mut(organisation) {
-            let before = line.waiting.len();
-            line.waiting.retain(|ticket| ticket.number != number);
-            self.waiting -= before - line.waiting.len();
+    pub fn cancel(&mut self, organisation: &OrganisationName, number: RequestNumber) {
+        if let Some(queue) = self.queues.get_mut(organisation) {
+            let before = queue.waiting.len();
+            queue.waiting.retain(|request| request.number != number);
+            self.waiting -= before - queue.waiting.len();
         }
     }
 
     /// The requests that may begin now.
-    pub fn release(
+    pub fn dequeue(
         &mut self,
-        terms: impl Fn(&OrganisationName) -> ShareTerms,
-    ) -> Vec<TicketNumber> {
-        let mut released = Vec::new();
-        while self.running < self.most_running {
-            let ready = self.lines.iter_mut().filter(|(name, line)| {
-                let most = terms(name).most_in_progress;
-                !line.waiting.is_empty() && most.is_none_or(|most| line.running < most)
+        quota: impl Fn(&OrganisationName) -> OrganisationQuota,
+    ) -> Vec<RequestNumber> {
+        let mut dequeued = Vec::new();
+        while self.running < self.max_running {
+            let eligible = self.queues.iter_mut().filter(|(name, queue)| {
+                let max = quota(name).max_in_progress;
+                !queue.waiting.is_empty() && max.is_none_or(|max| queue.running < max)
             });
-            let Some((name, line)) = ready.min_by_key(|(_, line)| line.due) else { break };
-            let Some(ticket) = line.waiting.pop_front() else { break };
-            self.clock = self.clock.max(line.due);
-            line.start(self.clock, terms(name));
+            let Some((name, queue)) = eligible.min_by_key(|(_, queue)| queue.start_tag) else {
+                break;
+            };
+            let Some(request) = queue.waiting.pop_front() else { break };
+            self.virtual_time = self.virtual_time.max(queue.start_tag);
+            queue.start(self.virtual_time, quota(name));
             self.waiting -= 1;
             self.running += 1;
-            released.push(ticket.number);
+            dequeued.push(request.number);
         }
-        released
+        dequeued
     }
 
     /// The requests that have waited too long.
-    pub fn expire(&mut self, now: Moment) -> Vec<TicketNumber> {
+    pub fn expire(&mut self, now: Moment) -> Vec<RequestNumber> {
         let mut expired = Vec::new();
-        for line in self.lines.values_mut() {
-            while line.waiting.front().is_some_and(|ticket| ticket.until <= now) {
-                expired.extend(line.waiting.pop_front().map(|ticket| ticket.number));
+        for queue in self.queues.values_mut() {
+            while queue.waiting.front().is_some_and(|request| request.deadline <= now) {
+                expired.extend(queue.waiting.pop_front().map(|request| request.number));
             }
         }
         self.waiting -= expired.len();
@@ -232,9 +234,10 @@
     }
 }
 
-impl OrganisationLine {
-    fn start(&mut self, clock: u64, terms: ShareTerms) {
+impl OrganisationQueue {
+    fn start(&mut self, virtual_time: u64, quota: OrganisationQuota) {
         self.running += 1;
-        self.due = self.due.max(clock) + STEP / u64::from(terms.share.max(1));
+        self.start_tag =
+            self.start_tag.max(virtual_time) + VIRTUAL_COST / u64::from(quota.share.max(1));
     }
 }
--- a/crates/core/src/apply.rs
+++ b/crates/core/src/apply.rs
@@ -3,7 +3,7 @@
 use headlatch_types::{id::ApplyId, quantity::ConfigRevision};
 
 /// Calls to the platform that one apply makes before it gives up.
-const MOST_CALLS: u32 = 12;
+const MAX_CALLS: u32 = 12;
 
 /// What the apply wants done next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -42,9 +42,9 @@
     /// The write took effect.
     Written(ConfigRevision),
     /// The write did not take effect: the revision was another.
-    Refused,
+    WriteConflict,
     /// The write may have taken effect.
-    Unclear,
+    WriteUnknown,
     /// The call did not reach the platform.
     Failed,
 }
@@ -57,35 +57,35 @@
     expected: Option<ConfigRevision>,
     calls: u32,
     /// Whether some write may have taken effect.
-    unclear: bool,
+    write_unknown: bool,
 }
 
 impl FleetApply {
     /// An apply with its id, on top of `expected` if that is given.
     pub fn new(id: ApplyId, expected: Option<ConfigRevision>) -> Self {
-        Self { id, expected, calls: 0, unclear: false }
+        Self { id, expected, calls: 0, write_unknown: false }
     }
 
     /// The first step.
-    pub fn begin(&mut self) -> ApplyStep {
-        self.call(ApplyStep::Read)
+    pub fn start(&mut self) -> ApplyStep {
+        self.next_call(ApplyStep::Read)
     }
 
     /// The step after `event`.
     pub fn handle(&mut self, event: ApplyEvent) -> ApplyStep {
         match event {
-            ApplyEvent::Read(found) => self.compare(found),
+            ApplyEvent::Read(found) => self.decide(found),
             ApplyEvent::Written(revision) => ApplyStep::Done(ApplyOutcome::Applied(revision)),
-            ApplyEvent::Refused => self.call(ApplyStep::Read),
-            ApplyEvent::Unclear => {
-                self.unclear = true;
-                self.call(ApplyStep::Read)
+            ApplyEvent::WriteConflict => self.next_call(ApplyStep::Read),
+            ApplyEvent::WriteUnknown => {
+                self.write_unknown = true;
+                self.next_call(ApplyStep::Read)
             }
-            ApplyEvent::Failed => self.call(ApplyStep::Read),
+            ApplyEvent::Failed => self.next_call(ApplyStep::Read),
         }
     }
 
-    fn compare(&mut self, found: Option<(ConfigRevision, ApplyId)>) -> ApplyStep {
+    fn decide(&mut self, found: Option<(ConfigRevision, ApplyId)>) -> ApplyStep {
         let (revision, writer) = match found {
             Some((revision, writer)) => (revision, Some(writer)),
             None => (ConfigRevision::default(), None),
@@ -96,21 +96,22 @@
         let expected = *self.expected.get_or_insert(revision);
         if revision == expected {
             // Whatever was written before did not take effect, or the revision would have risen.
-            return self.call(ApplyStep::Write(expected));
+            return self.next_call(ApplyStep::Write(expected));
         }
-        if self.unclear {
+        if self.write_unknown {
             // Ours may have taken effect and have been replaced since.
             return ApplyStep::Done(ApplyOutcome::Unknown);
         }
         ApplyStep::Done(ApplyOutcome::Conflict { expected, found: revision })
     }
 
-    fn call(&mut self, step: ApplyStep) -> ApplyStep {
+    fn next_call(&mut self, step: ApplyStep) -> ApplyStep {
         self.calls += 1;
-        if self.calls <= MOST_CALLS {
+        if self.calls <= MAX_CALLS {
             return step;
         }
-        let outcome = if self.unclear { ApplyOutcome::Unknown } else { ApplyOutcome::NotApplied };
+        let outcome =
+            if self.write_unknown { ApplyOutcome::Unknown } else { ApplyOutcome::NotApplied };
         ApplyStep::Done(outcome)
     }
 }
--- a/crates/core/src/burst/draw_window.rs
+++ b/crates/core/src/burst/draw_window.rs
@@ -72,18 +72,18 @@
     }
 
     /// Records the arrival of a chunk drawn by any box.
-    pub(super) fn note_arrival(&mut self, now: Moment) {
+    pub(super) fn record_arrival(&mut self, now: Moment) {
         self.progressed = now;
         self.chunks = (self.chunks + GROWTH).min(MAX_CHUNKS);
     }
 
     /// Records a successful draw of this box.
-    pub(super) fn note_drawn(&mut self) {
+    pub(super) fn record_draw(&mut self) {
         self.failures = 0;
     }
 
     /// Records a failed draw of this box.
-    pub(super) fn note_failure(&mut self, now: Moment) {
+    pub(super) fn record_failure(&mut self, now: Moment) {
         self.progressed = now;
         self.chunks = (self.chunks / 2).max(MIN_CHUNKS);
         self.due = now + INITIAL_BACKOFF * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
--- a/crates/core/src/burst/draws.rs
+++ b/crates/core/src/burst/draws.rs
@@ -84,13 +84,13 @@
 impl DrawLedger {
     /// Accepts a ticket unless it is a duplicate.
     pub(super) fn take(&mut self, now: Moment, ticket: DrawTicket) {
-        self.note_turn(now, ticket);
+        self.advance_past(now, ticket);
         if self.seen.insert(ticket) {
             self.hold(now, ticket);
         }
     }
 
-    fn note_turn(&mut self, now: Moment, ticket: DrawTicket) {
+    fn advance_past(&mut self, now: Moment, ticket: DrawTicket) {
         if ticket.pool == DrawPool::Origin {
             self.advance(now, ticket.chunk.0 + 1);
         }
@@ -99,7 +99,7 @@
     /// Holds a ticket created by this box to replace a lost one.
     pub(super) fn replace_lost(&mut self, now: Moment, ticket: DrawTicket) {
         if ticket.lane != REPLACEMENT_LANE {
-            self.note_turn(now, ticket);
+            self.advance_past(now, ticket);
         }
         self.hold(now, ticket);
     }
@@ -117,7 +117,7 @@
 
     /// Records that a ticket is sent to another box.
     pub(super) fn hand_over(&mut self, now: Moment, ticket: DrawTicket, to: PeerKey) {
-        self.note_turn(now, ticket);
+        self.advance_past(now, ticket);
         let fresh = Handover { to: Vec::new(), since: now, received: false, tries: 0 };
         let handover = self.handed.entry(ticket).or_insert(fresh);
         if handover.to.last() != Some(&to) {
@@ -129,7 +129,7 @@
     }
 
     /// Records that a box acknowledged a ticket.
-    pub(super) fn note_receipt(&mut self, now: Moment, ticket: DrawTicket, from: PeerKey) {
+    pub(super) fn record_receipt(&mut self, now: Moment, ticket: DrawTicket, from: PeerKey) {
         let handover = self.handed.get_mut(&ticket).filter(|one| one.to.last() == Some(&from));
         if let Some(handover) = handover {
             handover.received = true;
--- a/crates/core/src/burst/fetching.rs
+++ b/crates/core/src/burst/fetching.rs
@@ -238,7 +238,7 @@
         actions: &mut Vec<SwarmAction>,
     ) {
         if let ChunkSource::Peer(peer) = source {
-            self.peers.note_request(peer);
+            self.peers.record_request(peer);
         }
         self.open.insert(chunk, OpenFetch { source, asked: now, started: None, deferred: false });
         actions.push(SwarmAction::Fetch { chunk, source });
--- a/crates/core/src/burst/maintenance.rs
+++ b/crates/core/src/burst/maintenance.rs
@@ -70,11 +70,11 @@
             match fetch.source {
                 // A box that was heard from recently is busy rather than unreachable.
                 ChunkSource::Peer(peer)
-                    if fetch.started.is_none() && self.peers.is_heard(now, peer) =>
+                    if fetch.started.is_none() && self.peers.is_responsive(now, peer) =>
                 {
-                    self.peers.note_busy(now, peer);
+                    self.peers.record_busy(now, peer);
                 }
-                ChunkSource::Peer(peer) => self.peers.note_failure(now, peer),
+                ChunkSource::Peer(peer) => self.peers.record_failure(now, peer),
                 ChunkSource::Origin | ChunkSource::Store => {}
             }
         }
@@ -109,7 +109,7 @@
         let ChunkSource::Peer(peer) = fetch.source else { return false };
         let waited = now.since(fetch.asked) >= self.settings.timings.silence_timeout;
         let begun = fetch.started.is_some();
-        waited && !begun && self.peers.contains(peer) && !self.peers.is_heard(now, peer)
+        waited && !begun && self.peers.contains(peer) && !self.peers.is_responsive(now, peer)
     }
 
     /// Recovers chunks that are overdue in this domain.
--- a/crates/core/src/burst/peers.rs
+++ b/crates/core/src/burst/peers.rs
@@ -31,7 +31,7 @@
     asked: u32,
     /// Queue length that it last reported.
     queue: u32,
-    last_heard: Moment,
+    last_message: Moment,
     corrupt_chunks: u32,
     valid_chunks: u32,
     failures: u32,
@@ -44,13 +44,13 @@
     fn is_usable(&self, now: Moment, silence: Duration, most_asked: u32, most_load: u32) -> bool {
         !self.is_corrupter()
             && self.paused_until <= now
-            && self.is_heard(now, silence)
+            && self.is_responsive(now, silence)
             && self.asked < most_asked
             && self.load() < most_load
     }
 
-    fn is_heard(&self, now: Moment, silence: Duration) -> bool {
-        now.since(self.last_heard) < silence
+    fn is_responsive(&self, now: Moment, silence: Duration) -> bool {
+        now.since(self.last_message) < silence
     }
 
     fn load(&self) -> u32 {
@@ -111,7 +111,7 @@
             held: ChunkSet::new(self.chunks),
             asked: 0,
             queue: 0,
-            last_heard: Moment::ZERO,
+            last_message: Moment::ZERO,
             corrupt_chunks: 0,
             valid_chunks: 0,
             failures: 0,
@@ -163,27 +163,27 @@
             return copies > 0;
         }
         let holds =
-            |peer: &PeerState| peer.held.contains(chunk) && peer.is_heard(now, self.silence);
+            |peer: &PeerState| peer.held.contains(chunk) && peer.is_responsive(now, self.silence);
         self.peers.iter().any(holds)
     }
 
     /// Records a message with the sender's queue length. Clears the backoff of a sender that was silent.
-    pub(super) fn note_message(&mut self, now: Moment, key: PeerKey, queue: u32) {
+    pub(super) fn record_message(&mut self, now: Moment, key: PeerKey, queue: u32) {
         let silence = self.silence;
         if let Some(peer) = self.get_mut(key) {
-            if !peer.is_heard(now, silence) {
+            if !peer.is_responsive(now, silence) {
                 peer.failures = 0;
                 peer.paused_until = now;
             }
             peer.queue = queue;
-            peer.last_heard = now;
+            peer.last_message = now;
         }
     }
 
     /// Whether a box was heard from within the silence timeout; all send notes every few seconds.
-    pub(super) fn is_heard(&self, now: Moment, key: PeerKey) -> bool {
+    pub(super) fn is_responsive(&self, now: Moment, key: PeerKey) -> bool {
         let peer = self.index.get(&key).map(|at| &self.peers[*at]);
-        peer.is_some_and(|peer| peer.is_heard(now, self.silence))
+        peer.is_some_and(|peer| peer.is_responsive(now, self.silence))
     }
 
     /// Records that a neighbour holds a chunk.
@@ -217,19 +217,19 @@
         self.index.get(&key).is_some_and(|at| self.peers[*at].held.contains(chunk))
     }
 
-    pub(super) fn note_request(&mut self, key: PeerKey) {
+    pub(super) fn record_request(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked += 1;
         }
     }
 
-    pub(super) fn note_request_end(&mut self, key: PeerKey) {
+    pub(super) fn record_request_end(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.asked = peer.asked.saturating_sub(1);
         }
     }
 
-    pub(super) fn note_valid_chunk(&mut self, key: PeerKey) {
+    pub(super) fn record_valid_chunk(&mut self, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.failures = 0;
             peer.valid_chunks += 1;
@@ -237,14 +237,14 @@
     }
 
     /// Backs off briefly from a busy box.
-    pub(super) fn note_busy(&mut self, now: Moment, key: PeerKey) {
+    pub(super) fn record_busy(&mut self, now: Moment, key: PeerKey) {
         if let Some(peer) = self.get_mut(key) {
             peer.paused_until = now + BUSY_BACKOFF;
         }
     }
 
     /// Backs off from a slow or unreachable box, for longer with each failure.
-    pub(super) fn note_failure(&mut self, now: Moment, key: PeerKey) {
+    pub(super) fn record_failure(&mut self, now: Moment, key: PeerKey) {
         let first = self.initial_backoff;
         if let Some(peer) = self.get_mut(key) {
             // Failures during the backoff belong to the failure that caused it.
@@ -259,7 +259,7 @@
 
     /// Records a corrupt chunk from a box, which is excluded after several. A box that is not a
     /// neighbour has no record of valid chunks and is excluded at once.
-    pub(super) fn note_corrupt(&mut self, key: PeerKey) {
+    pub(super) fn record_corrupt_chunk(&mut self, key: PeerKey) {
         let Some(at) = self.index.get(&key).copied() else {
             self.corrupters.push(key);
             return;
--- a/crates/core/src/burst/planner.rs
+++ b/crates/core/src/burst/planner.rs
@@ -164,7 +164,7 @@
         match event {
             SwarmEvent::Peers(peers) => self.update_peers(now, &peers, &mut actions),
             SwarmEvent::Note { from, note, status } => {
-                self.peers.note_message(now, from, status.queue);
+                self.peers.record_message(now, from, status.queue);
                 self.draws.advance(now, status.drawn);
                 self.handle_note(now, from, note, &mut actions);
             }
@@ -281,7 +281,7 @@
                 });
                 self.draws.take(now, ticket);
             }
-            SwarmNote::TicketReceived(ticket) => self.draws.note_receipt(now, ticket, from),
+            SwarmNote::TicketReceived(ticket) => self.draws.record_receipt(now, ticket, from),
             SwarmNote::Offer(chunk) if chunk.0 < self.settings.chunks => {
                 if !self.held.contains(chunk) && !self.peers.is_corrupter(from) {
                     self.imports.offer(chunk, from);
@@ -420,7 +420,7 @@
         }
         self.open.remove(&chunk);
         if let ChunkSource::Peer(peer) = source {
-            self.peers.note_request_end(peer);
+            self.peers.record_request_end(peer);
         }
     }
 
@@ -430,7 +430,7 @@
         peer: PeerKey,
         actions: &mut Vec<SwarmAction>,
     ) {
-        self.peers.note_failure(now, peer);
+        self.peers.record_failure(now, peer);
         self.uploads.forget(peer);
         self.grant(now, actions);
         self.start_fetches(now, actions);
--- a/crates/core/src/burst/planner/outcomes.rs
+++ b/crates/core/src/burst/planner/outcomes.rs
@@ -31,17 +31,17 @@
         source: ChunkSource,
         actions: &mut Vec<SwarmAction>,
     ) {
-        self.note_transfer(now, chunk);
+        self.record_transfer(now, chunk);
         self.close_fetch(chunk, source);
         self.timeout_factor = (self.timeout_factor / 2).max(1);
         if source == ChunkSource::Origin {
-            self.window.note_drawn();
+            self.window.record_draw();
         }
         if let ChunkSource::Peer(peer) = source {
-            self.peers.note_valid_chunk(peer);
+            self.peers.record_valid_chunk(peer);
         }
         if self.held.insert(chunk) {
-            self.window.note_arrival(now);
+            self.window.record_arrival(now);
             self.arrivals.push_back(now);
             if self.arrivals.len() > RATE_CHUNKS {
                 self.arrivals.pop_front();
@@ -53,7 +53,7 @@
     }
 
     /// Updates the average transfer time with that of a completed fetch.
-    pub(in crate::burst) fn note_transfer(&mut self, now: Moment, chunk: ChunkIndex) {
+    pub(in crate::burst) fn record_transfer(&mut self, now: Moment, chunk: ChunkIndex) {
         let started = self.open.get(&chunk).and_then(|fetch| fetch.started);
         let Some(started) = started else { return };
         // Concurrent downloads share the link.
@@ -132,14 +132,14 @@
     ) {
         self.close_fetch(chunk, source);
         match source {
-            ChunkSource::Peer(peer) => self.note_peer_failure(now, peer, chunk, failure),
+            ChunkSource::Peer(peer) => self.record_peer_failure(now, peer, chunk, failure),
             ChunkSource::Origin => self.postpone(now, chunk, DrawPool::Origin, failure),
             ChunkSource::Store => self.postpone(now, chunk, DrawPool::Store, failure),
         }
         self.start_fetches(now, actions);
     }
 
-    pub(in crate::burst) fn note_peer_failure(
+    pub(in crate::burst) fn record_peer_failure(
         &mut self,
         now: Moment,
         peer: PeerKey,
@@ -148,14 +148,14 @@
     ) {
         match failure {
             FetchFailure::Corrupt => {
-                self.peers.note_corrupt(peer);
+                self.peers.record_corrupt_chunk(peer);
                 if self.peers.is_corrupter(peer) {
                     self.imports.forget(peer);
                 }
             }
-            FetchFailure::Busy => self.peers.note_busy(now, peer),
+            FetchFailure::Busy => self.peers.record_busy(now, peer),
             FetchFailure::Absent => self.peers.drop_chunk(peer, chunk),
-            FetchFailure::Unreachable => self.peers.note_failure(now, peer),
+            FetchFailure::Unreachable => self.peers.record_failure(now, peer),
         }
     }
 
@@ -172,7 +172,7 @@
         }
         self.draws.postpone(now, chunk, pool);
         if pool == DrawPool::Origin {
-            self.window.note_failure(now);
+            self.window.record_failure(now);
             self.imports.restart_waits(now);
         }
     }
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -16,7 +16,7 @@
 
 /// An order that has been given and not been confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct OpenOrder {
+struct LoadOrder {
     set: SetKey,
     token: FencingToken,
 }
@@ -48,10 +48,10 @@
 pub struct WeightGate {
     target: Option<TargetSet>,
     verified: BTreeSet<Digest>,
-    order: Option<OpenOrder>,
+    pending_order: Option<LoadOrder>,
     /// The set that serves, with the token of the order that loaded it.
-    serving: Option<OpenOrder>,
-    highest: FencingToken,
+    serving: Option<LoadOrder>,
+    highest_token: FencingToken,
 }
 
 impl WeightGate {
@@ -61,10 +61,10 @@
     }
 
     /// Sets what is to be served; what serves now goes on until its turn to change comes.
-    pub fn aim(&mut self, target: Option<TargetSet>) {
+    pub fn set_target(&mut self, target: Option<TargetSet>) {
         if self.target != target {
             self.target = target;
-            self.order = None;
+            self.pending_order = None;
         }
     }
 
@@ -74,12 +74,12 @@
     }
 
     /// Every chunk of a manifest is here and verified.
-    pub fn verify(&mut self, manifest: Digest) {
+    pub fn mark_verified(&mut self, manifest: Digest) {
         self.verified.insert(manifest);
     }
 
     /// Some chunk of a manifest is no longer here.
-    pub fn forget(&mut self, manifest: Digest) {
+    pub fn clear_verified(&mut self, manifest: Digest) {
         self.verified.remove(&manifest);
     }
 
@@ -89,17 +89,21 @@
     }
 
     /// What is due next.
-    pub fn step(&self) -> GateStep {
+    pub fn next_step(&self) -> GateStep {
         let Some(target) = &self.target else { return GateStep::Wait };
         if self.serving() == Some(target.key) {
             return GateStep::Serving(target.key);
         }
-        let whole = target.parts.is_subset(&self.verified);
-        if whole && self.order.is_none() { GateStep::Ready(target.key) } else { GateStep::Wait }
+        let complete = target.parts.is_subset(&self.verified);
+        if complete && self.pending_order.is_none() {
+            GateStep::Ready(target.key)
+        } else {
+            GateStep::Wait
+        }
     }
 
     /// Takes the old set out of service; requests in progress may still end.
-    pub fn close(&mut self) {
+    pub fn stop_serving(&mut self) {
         self.serving = None;
     }
 
@@ -107,45 +111,45 @@
     ///
     /// The token is one more than any that this agent or the engine has seen. An order of another
     /// giver in the meantime makes it too low, and an engine that checks refuses it.
-    pub fn order(&mut self, report: EngineReport) -> Option<(SetKey, FencingToken)> {
-        let GateStep::Ready(set) = self.step() else { return None };
+    pub fn issue_order(&mut self, report: EngineReport) -> Option<(SetKey, FencingToken)> {
+        let GateStep::Ready(set) = self.next_step() else { return None };
         if self.serving.is_some() {
             return None;
         }
-        let last = self.highest.number().max(report.token.number());
+        let last = self.highest_token.number().max(report.token.number());
         let token = FencingToken::new(last + 1);
-        self.highest = token;
-        self.order = Some(OpenOrder { set, token });
+        self.highest_token = token;
+        self.pending_order = Some(LoadOrder { set, token });
         Some((set, token))
     }
 
     /// The engine refused the order, or it may not have come: a new one may be made.
-    pub fn withdraw_order(&mut self) {
-        self.order = None;
+    pub fn cancel_order(&mut self) {
+        self.pending_order = None;
     }
 
     /// Takes in what the engine says. The gate opens if the engine confirms the very order that
     /// was given, and closes as soon as the engine names another token or set.
-    pub fn observe(&mut self, report: EngineReport) {
-        self.highest = self.highest.max(report.token);
-        let confirms = |order: &OpenOrder| {
+    pub fn handle_report(&mut self, report: EngineReport) {
+        self.highest_token = self.highest_token.max(report.token);
+        let confirms = |order: &LoadOrder| {
             !report.loading && report.token == order.token && report.loaded == Some(order.set)
         };
         if self.serving.is_some_and(|order| !confirms(&order)) {
             self.serving = None;
         }
-        let Some(order) = self.order else { return };
+        let Some(order) = self.pending_order else { return };
         if confirms(&order) {
             self.serving = Some(order);
-            self.order = None;
+            self.pending_order = None;
         } else if report.token != order.token || (!report.loading && report.loaded.is_none()) {
-            self.order = None;
+            self.pending_order = None;
         }
     }
 
     /// The engine does not answer: nothing is known, so nothing is served.
-    pub fn lose_engine(&mut self) {
+    pub fn handle_engine_loss(&mut self) {
         self.serving = None;
-        self.order = None;
+        self.pending_order = None;
     }
 }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -5,10 +5,10 @@
 use crate::time::Moment;
 
 /// How long a spent key is remembered.
-pub const KEY_LIFE: Duration = Duration::from_secs(24 * 3600);
+pub const KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Most keys remembered; past it new ones are refused rather than old ones forgotten.
-pub const MOST_KEYS: usize = 100_000;
+pub const MAX_KEYS: usize = 100_000;
 
 /// What a key's request has come to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 /// Whether a request with a key may run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyAnswer {
+pub enum KeyClaim {
     /// The key is new; it is now in progress.
     Fresh,
     /// A request with it is in progress.
@@ -32,30 +32,30 @@
 
 /// The keys that this endpoint's agent has seen.
 #[derive(Debug, Clone, Default)]
-pub struct KeyLedger {
+pub struct IdempotencyKeys {
     keys: HashMap<String, KeyState>,
-    ages: VecDeque<(Moment, String)>,
+    by_age: VecDeque<(Moment, String)>,
 }
 
-impl KeyLedger {
+impl IdempotencyKeys {
     /// Takes a key for a request that is about to run.
-    pub fn take(&mut self, now: Moment, key: &str) -> KeyAnswer {
+    pub fn claim(&mut self, now: Moment, key: &str) -> KeyClaim {
         self.expire(now);
         match self.keys.get(key) {
-            Some(KeyState::InProgress) => return KeyAnswer::InProgress,
-            Some(KeyState::Spent) => return KeyAnswer::Spent,
+            Some(KeyState::InProgress) => return KeyClaim::InProgress,
+            Some(KeyState::Spent) => return KeyClaim::Spent,
             None => {}
         }
-        if self.keys.len() >= MOST_KEYS {
-            return KeyAnswer::Full;
+        if self.keys.len() >= MAX_KEYS {
+            return KeyClaim::Full;
         }
         self.keys.insert(key.to_owned(), KeyState::InProgress);
-        self.ages.push_back((now, key.to_owned()));
-        KeyAnswer::Fresh
+        self.by_age.push_back((now, key.to_owned()));
+        KeyClaim::Fresh
     }
 
     /// The request with `key` has ended, or may have run.
-    pub fn spend(&mut self, key: &str) {
+    pub fn mark_spent(&mut self, key: &str) {
         if let Some(state) = self.keys.get_mut(key) {
             *state = KeyState::Spent;
         }
@@ -72,11 +72,11 @@
     }
 
     fn expire(&mut self, now: Moment) {
-        while let Some((taken, _)) = self.ages.front() {
-            if now.since(*taken) < KEY_LIFE {
+        while let Some((claimed_at, _)) = self.by_age.front() {
+            if now.since(*claimed_at) < KEY_RETENTION {
                 return;
             }
-            let Some((_, key)) = self.ages.pop_front() else { return };
+            let Some((_, key)) = self.by_age.pop_front() else { return };
             if self.keys.get(&key) == Some(&KeyState::Spent) {
                 self.keys.remove(&key);
             }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -19,35 +19,35 @@
 ///
 /// News of a beat takes a few packets to come around; whoever sends requests notices sooner, by
 /// their failure.
-pub const SUSPECT_AFTER: Duration = Duration::from_secs(12);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// The same for nodes of other domains, whose beats come in more seldom.
-pub const FAR_SUSPECT_AFTER: Duration = Duration::from_secs(45);
+pub const REMOTE_SUSPECT_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// A node that has not been heard of for this long is forgotten.
-pub const FORGET_AFTER: Duration = Duration::from_secs(120);
+pub const EXPIRY_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How often a node sends a packet.
-pub const GOSSIP_PAUSE: Duration = Duration::from_secs(1);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Full records in one packet, this node's own among them.
-pub const PACKET_RECORDS: usize = 6;
+pub const MAX_PACKET_RECORDS: usize = 6;
 
 /// Beats in one packet.
-pub const PACKET_BEATS: usize = 50;
+pub const MAX_PACKET_HEARTBEATS: usize = 50;
 
 /// Records asked for in one packet.
-pub const PACKET_WANTS: usize = 12;
+pub const MAX_PACKET_REQUESTS: usize = 12;
 
 /// Packets in which news is passed on.
-const NEWS_PACKETS: u32 = 4;
+const UPDATE_TRANSMISSIONS: u32 = 4;
 
 /// Packets sent at once when this node has news of its own, or passes urgent news on.
-pub const RUMOUR_FANOUT: usize = 3;
+pub const URGENT_FANOUT: usize = 3;
 
 /// Least time between two times that news of others is passed on at once. Without it one change
 /// at every node, as by a new version, would make packets by the square of their number.
-const RUMOUR_PAUSE: Duration = Duration::from_secs(1);
+const URGENT_FORWARD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a node is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,7 +120,7 @@
 
 /// That a node was alive at some second of its own clock, and its figures then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NodeBeat {
+pub struct Heartbeat {
     /// The node.
     pub key: ShortKey,
     /// The second.
@@ -141,7 +141,7 @@
     /// News, with the sender's own record first; none in an answer.
     pub records: Vec<NodeRecord>,
     /// Beats of nodes that need no full record.
-    pub beats: Vec<NodeBeat>,
+    pub beats: Vec<Heartbeat>,
     /// Nodes whose records the sender lacks.
     pub wants: Vec<ShortKey>,
 }
@@ -152,57 +152,58 @@
     /// Something that everybody should hear of soon.
     pub urgent: bool,
     /// A node that has a newer configuration than any known before, and its revision.
-    pub newest: Option<(ConfigRevision, SocketAddr)>,
+    pub newest_config: Option<(ConfigRevision, SocketAddr)>,
     /// Nodes of which the sender knows more than this node.
-    pub unknown: Vec<ShortKey>,
+    pub missing_records: Vec<ShortKey>,
 }
 
 impl KnownNode {
     fn new(now: Moment, record: NodeRecord) -> Self {
         let beat = record.beat;
-        let mut known = Self { record, heard: now, quickest: i64::MAX, passed_on: 0 };
-        known.note_beat(now, beat);
+        let mut known =
+            Self { record, last_alive: now, min_clock_offset: i64::MAX, transmissions: 0 };
+        known.record_heartbeat(now, beat);
         known
     }
 
     /// Works out when a beat that has come now would have come at best.
-    fn note_beat(&mut self, now: Moment, beat: u32) {
-        let told = i64::from(beat) * MICROS_A_SECOND;
-        self.quickest = self.quickest.min(now.micros() as i64 - told);
-        self.heard = Moment::from_micros((told + self.quickest).max(0) as u64);
+    fn record_heartbeat(&mut self, now: Moment, beat: u32) {
+        let sent_at = i64::from(beat) * MICROS_PER_SECOND;
+        self.min_clock_offset = self.min_clock_offset.min(now.micros() as i64 - sent_at);
+        self.last_alive = Moment::from_micros((sent_at + self.min_clock_offset).max(0) as u64);
     }
 }
 
 impl NodeRecord {
-    fn age(&self) -> (u64, u64) {
+    fn generation(&self) -> (u64, u64) {
         (self.incarnation, self.version)
     }
 
-    fn without_figures(&self) -> Self {
-        let mut plain = self.clone();
-        plain.revision = ConfigRevision::default();
-        if let Some(state) = plain.endpoint.as_mut() {
+    fn without_metrics(&self) -> Self {
+        let mut record = self.clone();
+        record.revision = ConfigRevision::default();
+        if let Some(state) = record.endpoint.as_mut() {
             state.in_progress = 0;
             state.fetched_permille = 0;
             state.fetch_rate = 0;
         }
-        plain
+        record
     }
 
-    fn to_beat(&self) -> NodeBeat {
+    fn to_heartbeat(&self) -> Heartbeat {
         let state = self.endpoint.as_ref();
-        let short = |figure: u32| figure.min(u32::from(u16::MAX)) as u16;
-        NodeBeat {
+        let saturate = |value: u32| value.min(u32::from(u16::MAX)) as u16;
+        Heartbeat {
             key: ShortKey::of(&self.id),
             beat: self.beat,
             version: self.version as u32,
             revision: self.revision.number() as u32,
-            in_progress: short(state.map_or(0, |state| state.in_progress)),
-            fetched_permille: short(state.map_or(0, |state| state.fetched_permille)),
+            in_progress: saturate(state.map_or(0, |state| state.in_progress)),
+            fetched_permille: saturate(state.map_or(0, |state| state.fetched_permille)),
         }
     }
 
-    fn take_beat(&mut self, beat: NodeBeat) {
+    fn apply_heartbeat(&mut self, beat: Heartbeat) {
         self.beat = beat.beat;
         self.revision = ConfigRevision::new(beat.revision.into());
         if let Some(state) = self.endpoint.as_mut() {
@@ -212,9 +213,9 @@
     }
 
     /// Whether `version`, which are low bits only, is later than this record's.
-    fn lacks(&self, version: u32) -> bool {
-        let ahead = version.wrapping_sub(self.version as u32);
-        ahead != 0 && ahead < u32::MAX / 2
+    fn is_older_than(&self, version: u32) -> bool {
+        let difference = version.wrapping_sub(self.version as u32);
+        difference != 0 && difference < u32::MAX / 2
     }
 
     fn serving(&self) -> Option<SetKey> {
@@ -222,7 +223,7 @@
     }
 
     /// Whether everybody should hear soon that this has taken the place of `before`.
-    fn is_urgent_after(&self, before: &Self) -> bool {
+    fn is_urgent_change(&self, before: &Self) -> bool {
         self.leaving != before.leaving || self.serving() != before.serving()
     }
 }
@@ -234,11 +235,11 @@
     pub record: NodeRecord,
     /// When the node's last beat would have come by the quickest way known: a beat that has been
     /// on its way for long must not make a dead node look alive.
-    pub heard: Moment,
+    pub last_alive: Moment,
     /// Least time seen between a second of the node's clock and its coming here, in microseconds.
-    quickest: i64,
+    min_clock_offset: i64,
     /// Packets the record has been passed on in since it was news.
-    passed_on: u32,
+    transmissions: u32,
 }
 
 /// Every node that this one knows of.
@@ -250,7 +251,7 @@
     /// Addresses to try when nobody is known.
     seeds: Vec<SocketAddr>,
     /// When news of others was last passed on at once.
-    rumoured: Moment,
+    last_urgent_forward: Moment,
 }
 
 impl NodeTable {
@@ -261,7 +262,7 @@
             nodes: BTreeMap::new(),
             short: HashMap::new(),
             seeds: Vec::new(),
-            rumoured: Moment::ZERO,
+            last_urgent_forward: Moment::ZERO,
         }
     }
 
@@ -274,13 +275,13 @@
     pub fn update(&mut self, change: impl FnOnce(&mut NodeRecord)) {
         let before = self.own.clone();
         change(&mut self.own);
-        if self.own.without_figures() != before.without_figures() {
+        if self.own.without_metrics() != before.without_metrics() {
             self.own.version += 1;
         }
     }
 
     /// Takes over addresses from the platform's list, to try besides known nodes.
-    pub fn seed(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
@@ -288,29 +289,36 @@
     pub fn merge(&mut self, now: Moment, packet: GossipPacket) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         for record in packet.records {
-            if record.revision > outcome.newest.map_or(self.own.revision, |(newest, _)| newest) {
-                outcome.newest = Some((record.revision, record.control));
+            if record.revision
+                > outcome.newest_config.map_or(self.own.revision, |(newest, _)| newest)
+            {
+                outcome.newest_config = Some((record.revision, record.control));
             }
             outcome.urgent |= self.merge_record(now, record);
         }
         for beat in packet.beats {
-            let newest = outcome.newest.map_or(self.own.revision, |(newest, _)| newest);
+            let newest = outcome.newest_config.map_or(self.own.revision, |(newest, _)| newest);
             if u64::from(beat.revision) > newest.number() {
                 let id = self.short.get(&beat.key);
                 let known = id.and_then(|id| self.nodes.get(id));
                 let found = known.map(|known| known.record.control);
                 let revision = ConfigRevision::new(beat.revision.into());
-                outcome.newest = found.map(|control| (revision, control)).or(outcome.newest);
+                outcome.newest_config =
+                    found.map(|control| (revision, control)).or(outcome.newest_config);
             }
-            if !self.merge_beat(now, beat) && outcome.unknown.len() < PACKET_WANTS {
-                outcome.unknown.push(beat.key);
+            if !self.merge_heartbeat(now, beat)
+                && outcome.missing_records.len() < MAX_PACKET_REQUESTS
+            {
+                outcome.missing_records.push(beat.key);
             }
         }
-        if outcome.urgent && now.since(self.rumoured) < RUMOUR_PAUSE && self.rumoured > Moment::ZERO
+        if outcome.urgent
+            && now.since(self.last_urgent_forward) < URGENT_FORWARD_INTERVAL
+            && self.last_urgent_forward > Moment::ZERO
         {
             outcome.urgent = false;
         } else if outcome.urgent {
-            self.rumoured = now;
+            self.last_urgent_forward = now;
         }
         outcome
     }
@@ -327,138 +335,142 @@
             return false;
         };
         if record.beat > known.record.beat {
-            known.note_beat(now, record.beat);
-            known.record.take_beat(record.to_beat());
+            known.record_heartbeat(now, record.beat);
+            known.record.apply_heartbeat(record.to_heartbeat());
         }
-        if record.age() <= known.record.age() {
+        if record.generation() <= known.record.generation() {
             return false;
         }
-        let urgent = record.is_urgent_after(&known.record);
-        let beat = known.record.to_beat();
+        let urgent = record.is_urgent_change(&known.record);
+        let beat = known.record.to_heartbeat();
         known.record = record;
-        known.record.take_beat(beat);
-        known.passed_on = 0;
+        known.record.apply_heartbeat(beat);
+        known.transmissions = 0;
         urgent
     }
 
     /// Takes in a beat; false if its node's record is not known, or is behind.
-    fn merge_beat(&mut self, now: Moment, beat: NodeBeat) -> bool {
+    fn merge_heartbeat(&mut self, now: Moment, beat: Heartbeat) -> bool {
         if beat.key == ShortKey::of(&self.own.id) {
             return true;
         }
         let known = self.short.get(&beat.key).and_then(|id| self.nodes.get_mut(id));
         let Some(known) = known else { return false };
         if beat.beat > known.record.beat {
-            known.note_beat(now, beat.beat);
-            known.record.take_beat(beat);
+            known.record_heartbeat(now, beat.beat);
+            known.record.apply_heartbeat(beat);
         }
-        !known.record.lacks(beat.version)
+        !known.record.is_older_than(beat.version)
     }
 
     /// Forgets nodes that have been silent for long.
     pub fn expire(&mut self, now: Moment) {
-        self.nodes.retain(|_, known| now.since(known.heard) < FORGET_AFTER);
+        self.nodes.retain(|_, known| now.since(known.last_alive) < EXPIRY_TIMEOUT);
         let nodes = &self.nodes;
         self.short.retain(|_, id| nodes.contains_key(id));
     }
 
-    fn is_living(&self, now: Moment, known: &KnownNode) -> bool {
-        let near = known.record.domain == self.own.domain;
-        let limit = if near { SUSPECT_AFTER } else { FAR_SUSPECT_AFTER };
-        now.since(known.heard) < limit
+    fn is_alive(&self, now: Moment, known: &KnownNode) -> bool {
+        let local = known.record.domain == self.own.domain;
+        let limit = if local { SUSPECT_TIMEOUT } else { REMOTE_SUSPECT_TIMEOUT };
+        now.since(known.last_alive) < limit
     }
 
     /// Nodes heard of lately, not counting this one.
-    pub fn living(&self, now: Moment) -> impl Iterator<Item = &NodeRecord> {
-        let lately = move |known: &&KnownNode| self.is_living(now, known);
-        self.nodes.values().filter(lately).map(|known| &known.record)
+    pub fn alive_nodes(&self, now: Moment) -> impl Iterator<Item = &NodeRecord> {
+        let is_alive = move |known: &&KnownNode| self.is_alive(now, known);
+        self.nodes.values().filter(is_alive).map(|known| &known.record)
     }
 
     /// Every node known, with the time it was last heard of.
-    pub fn known(&self) -> impl Iterator<Item = &KnownNode> {
+    pub fn known_nodes(&self) -> impl Iterator<Item = &KnownNode> {
         self.nodes.values()
     }
 
     /// The next packet at second `beat` of this node's clock: its own record, news, and beats.
-    pub fn packet(&mut self, beat: u32) -> GossipPacket {
+    pub fn next_packet(&mut self, beat: u32) -> GossipPacket {
         self.own.beat = beat;
-        let mut news: Vec<&mut KnownNode> =
-            self.nodes.values_mut().filter(|known| known.passed_on < NEWS_PACKETS).collect();
-        news.sort_by_key(|known| (known.passed_on, std::cmp::Reverse(known.heard)));
+        let mut updates: Vec<&mut KnownNode> = self
+            .nodes
+            .values_mut()
+            .filter(|known| known.transmissions < UPDATE_TRANSMISSIONS)
+            .collect();
+        updates.sort_by_key(|known| (known.transmissions, std::cmp::Reverse(known.last_alive)));
         let mut records = vec![self.own.clone()];
-        for known in news.into_iter().take(PACKET_RECORDS - 1) {
-            known.passed_on += 1;
+        for known in updates.into_iter().take(MAX_PACKET_RECORDS - 1) {
+            known.transmissions += 1;
             records.push(known.record.clone());
         }
-        GossipPacket { records, beats: self.beats(), wants: Vec::new() }
+        GossipPacket { records, beats: self.recent_heartbeats(), wants: Vec::new() }
     }
 
     /// The freshest beats, most of them of the own domain.
     ///
     /// They also tell a receiver whom it does not know yet, so that it can ask for the records.
-    fn beats(&self) -> Vec<NodeBeat> {
+    fn recent_heartbeats(&self) -> Vec<Heartbeat> {
         let own = &self.own.domain;
         let mut all: Vec<&KnownNode> = self.nodes.values().collect();
-        all.sort_by_key(|known| std::cmp::Reverse((known.heard, known.record.beat)));
-        let (near, far): (Vec<_>, Vec<_>) =
+        all.sort_by_key(|known| std::cmp::Reverse((known.last_alive, known.record.beat)));
+        let (local, remote): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|known| known.record.domain == *own);
-        let room = PACKET_BEATS - near.len().min(PACKET_BEATS - FAR_BEATS);
-        let near = near.into_iter().take(PACKET_BEATS - FAR_BEATS);
-        let chosen = near.chain(far.into_iter().take(room));
-        chosen.map(|known| known.record.to_beat()).collect()
+        let remote_limit =
+            MAX_PACKET_HEARTBEATS - local.len().min(MAX_PACKET_HEARTBEATS - REMOTE_HEARTBEATS);
+        let local = local.into_iter().take(MAX_PACKET_HEARTBEATS - REMOTE_HEARTBEATS);
+        let chosen = local.chain(remote.into_iter().take(remote_limit));
+        chosen.map(|known| known.record.to_heartbeat()).collect()
     }
 
     /// A packet that asks for records that this node lacks.
-    pub fn ask(&self, unknown: Vec<ShortKey>) -> GossipPacket {
+    pub fn request_records(&self, unknown: Vec<ShortKey>) -> GossipPacket {
         let records = vec![self.own.clone()];
         GossipPacket { records, beats: Vec::new(), wants: unknown }
     }
 
     /// Packets for the sender of `packet`: the records it asks for, and this node's own if the
     /// sender's configuration is older.
-    pub fn answers(&self, packet: &GossipPacket) -> Vec<GossipPacket> {
+    pub fn replies(&self, packet: &GossipPacket) -> Vec<GossipPacket> {
         let sender = packet.records.first();
-        let behind = sender.is_some_and(|one| one.revision < self.own.revision);
-        let own = behind
+        let is_outdated = sender.is_some_and(|one| one.revision < self.own.revision);
+        let own = is_outdated
             .then(|| GossipPacket { records: vec![self.own.clone()], ..GossipPacket::default() });
-        own.into_iter().chain(self.wanted(&packet.wants)).collect()
+        own.into_iter().chain(self.requested_records(&packet.wants)).collect()
     }
 
-    fn wanted(&self, wants: &[ShortKey]) -> Vec<GossipPacket> {
-        let wanted = wants.iter().take(PACKET_WANTS).filter_map(|key| self.short.get(key));
+    fn requested_records(&self, wants: &[ShortKey]) -> Vec<GossipPacket> {
+        let wanted = wants.iter().take(MAX_PACKET_REQUESTS).filter_map(|key| self.short.get(key));
         let records: Vec<NodeRecord> =
             wanted.filter_map(|id| self.nodes.get(id)).map(|known| known.record.clone()).collect();
         let packet = |records: &[NodeRecord]| GossipPacket {
             records: records.to_vec(),
             ..GossipPacket::default()
         };
-        records.chunks(PACKET_RECORDS).map(packet).collect()
+        records.chunks(MAX_PACKET_RECORDS).map(packet).collect()
     }
 
     /// Where the next packet goes: mostly into this node's domain, now and then into another,
     /// and to a seed while few nodes are known.
-    pub fn target(&self, now: Moment, rng: &mut SmallRng) -> Option<SocketAddr> {
+    pub fn choose_target(&self, now: Moment, rng: &mut SmallRng) -> Option<SocketAddr> {
         if self.nodes.len() < 2 || rng.random_range(0..SEED_ONE_IN) == 0 {
             let seeds = self.seeds.iter().filter(|seed| **seed != self.own.control);
             if let Some(seed) = seeds.choose(rng) {
                 return Some(*seed);
             }
         }
-        let far = rng.random_range(0..FAR_ONE_IN) == 0;
-        let fits = |record: &&NodeRecord| (record.domain != self.own.domain) == far;
-        let chosen = self.living(now).filter(fits).choose(rng);
-        chosen.or_else(|| self.living(now).choose(rng)).map(|record| record.control)
+        let remote = rng.random_range(0..REMOTE_ONE_IN) == 0;
+        let in_scope = |record: &&NodeRecord| (record.domain != self.own.domain) == remote;
+        let chosen = self.alive_nodes(now).filter(in_scope).choose(rng);
+        chosen.or_else(|| self.alive_nodes(now).choose(rng)).map(|record| record.control)
     }
 }
 
 /// Microseconds of a second.
-const MICROS_A_SECOND: i64 = 1_000_000;
+const MICROS_PER_SECOND: i64 = 1_000_000;
 
 /// Beats in a packet that are kept for nodes of other domains.
-const FAR_BEATS: usize = 20;
+const REMOTE_HEARTBEATS: usize = 20;
 
 /// One packet in this many goes to another domain.
-const FAR_ONE_IN: u32 = 5;
+const REMOTE_ONE_IN: u32 = 5;
 
 /// One packet in this many goes to an address of the platform's list, known or not.
 const SEED_ONE_IN: u32 = 10;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -48,7 +48,7 @@
             boxes.iter().filter(|one| one.domain == *domain).map(|one| &one.id).collect();
         for (index, model) in plan.models.iter().enumerate() {
             let wanted = model.replicas.get(domain).copied().unwrap_or(0) as usize;
-            sort_for(model, &mut free);
+            sort_by_score(model, &mut free);
             let taken = free.drain(..wanted.min(free.len()));
             placement.extend(
                 taken
@@ -60,7 +60,7 @@
     placement
 }
 
-fn sort_for(model: &ModelPlan, boxes: &mut [&BoxId]) {
+fn sort_by_score(model: &ModelPlan, boxes: &mut [&BoxId]) {
     let subject = key_of(model.name.as_str().as_bytes());
     boxes.sort_by_key(|id| (std::cmp::Reverse(score(subject, id.key())), (*id).clone()));
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -8,12 +8,12 @@
 const RETRIES_PERCENT: u64 = 10;
 
 /// Retries a second that are allowed whatever the load.
-const LEAST_PER_SECOND: u64 = 2;
+const MIN_RETRIES_PER_SECOND: u64 = 2;
 
 /// Most retries saved up, so that a quiet hour does not pay for a storm.
-const MOST_SAVED: u64 = 50;
+const MAX_BALANCE: u64 = 50;
 
-const HUNDREDTHS: u64 = 100;
+const HUNDREDTHS_PER_RETRY: u64 = 100;
 
 /// A budget that first attempts fill and retries empty.
 ///
@@ -21,42 +21,43 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     /// Hundredths of a retry.
-    saved: u64,
-    filled_at: Moment,
+    balance: u64,
+    refilled_at: Moment,
 }
 
 impl RetryBudget {
     /// A budget with a few retries in hand.
     pub fn new(now: Moment) -> Self {
-        Self { saved: 10 * HUNDREDTHS, filled_at: now }
+        Self { balance: 10 * HUNDREDTHS_PER_RETRY, refilled_at: now }
     }
 
     /// Counts a first attempt.
-    pub fn earn(&mut self, now: Moment) {
-        self.fill(now);
+    pub fn deposit(&mut self, now: Moment) {
+        self.refill(now);
         self.add(RETRIES_PERCENT);
     }
 
     /// Takes one retry if there is one.
-    pub fn spend(&mut self, now: Moment) -> bool {
-        self.fill(now);
-        let enough = self.saved >= HUNDREDTHS;
+    pub fn try_withdraw(&mut self, now: Moment) -> bool {
+        self.refill(now);
+        let enough = self.balance >= HUNDREDTHS_PER_RETRY;
         if enough {
-            self.saved -= HUNDREDTHS;
+            self.balance -= HUNDREDTHS_PER_RETRY;
         }
         enough
     }
 
-    fn fill(&mut self, now: Moment) {
-        let rest = now.since(self.filled_at);
-        let steps = rest.as_millis() as u64 * LEAST_PER_SECOND * HUNDREDTHS / 1000;
-        if steps > 0 {
-            self.filled_at = self.filled_at + Duration::from_millis(rest.as_millis() as u64);
-            self.add(steps);
+    fn refill(&mut self, now: Moment) {
+        let elapsed = now.since(self.refilled_at);
+        let earned =
+            elapsed.as_millis() as u64 * MIN_RETRIES_PER_SECOND * HUNDREDTHS_PER_RETRY / 1000;
+        if earned > 0 {
+            self.refilled_at = self.refilled_at + Duration::from_millis(elapsed.as_millis() as u64);
+            self.add(earned);
         }
     }
 
     fn add(&mut self, hundredths: u64) {
-        self.saved = (self.saved + hundredths).min(MOST_SAVED * HUNDREDTHS);
+        self.balance = (self.balance + hundredths).min(MAX_BALANCE * HUNDREDTHS_PER_RETRY);
     }
 }
--- a/crates/core/src/rollover.rs
+++ b/crates/core/src/rollover.rs
@@ -22,11 +22,11 @@
 /// Of the replicas before it in rank all but a batch must serve the wanted set already; the batch
 /// is as large as the file allows. Also at least `kept` others must be known to serve at all, so
 /// that a domain that has lost boxes does not go below what is asked for by changing versions.
-pub fn may_change(rank: u32, replicas: u32, kept: u32, others: &[ReplicaView]) -> bool {
-    let batch = replicas.saturating_sub(kept).max(1);
-    let done_before =
+pub fn may_switch(rank: u32, replicas: u32, min_serving: u32, others: &[ReplicaView]) -> bool {
+    let batch = replicas.saturating_sub(min_serving).max(1);
+    let updated_before =
         others.iter().filter(|other| other.rank < rank && other.serves_wanted).count() as u32;
-    let turn = rank < done_before + batch;
+    let in_turn = rank < updated_before + batch;
     let serving = others.iter().filter(|other| other.serves).count() as u32;
-    turn && serving >= kept
+    in_turn && serving >= min_serving
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -8,22 +8,22 @@
 use crate::time::Moment;
 
 /// Failures in a row after which an endpoint is left out.
-const EJECT_AFTER: u32 = 3;
+const EJECTION_THRESHOLD: u32 = 3;
 
 /// First time an endpoint is left out for; it doubles each time.
-const FIRST_EJECTION: Duration = Duration::from_secs(2);
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(2);
 
 /// Longest such time.
-const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
 /// Time in which a new endpoint is brought up to its full part of the load.
 const WARM_UP: Duration = Duration::from_secs(10);
 
 /// How long a report about load is believed.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(3);
 
 /// How full the near endpoints must be, in percent of their slots, before far ones are taken.
-const SPILL_PERCENT: u32 = 90;
+const SPILLOVER_PERCENT: u32 = 90;
 
 /// Percent of the average load that an endpoint may have and still be chosen for its cache.
 const AFFINITY_BOUND_PERCENT: u32 = 125;
@@ -45,9 +45,9 @@
 struct EndpointView {
     first_seen: Moment,
     /// Requests that this entry has in progress there.
-    local: u32,
+    in_progress: u32,
     /// Load from a report on an answer, and when it came.
-    report: Option<(u32, Moment)>,
+    load_report: Option<(u32, Moment)>,
     failures: u32,
     ejections: u32,
     ejected_until: Moment,
@@ -80,31 +80,31 @@
         tried: &[BoxId],
         affinity: Option<u64>,
     ) -> Option<BoxId> {
-        candidates.iter().for_each(|candidate| self.meet(now, &candidate.id));
-        let fresh = |candidate: &&Candidate| !tried.contains(&candidate.id);
-        let open: Vec<&Candidate> = candidates.iter().filter(fresh).collect();
+        candidates.iter().for_each(|candidate| self.register(now, &candidate.id));
+        let untried = |candidate: &&Candidate| !tried.contains(&candidate.id);
+        let remaining: Vec<&Candidate> = candidates.iter().filter(untried).collect();
         let healthy: Vec<&Candidate> =
-            open.iter().copied().filter(|one| self.is_open(now, &one.id)).collect();
+            remaining.iter().copied().filter(|one| self.is_available(now, &one.id)).collect();
         // With every endpoint left out, trying one beats refusing everybody.
-        let usable = if healthy.is_empty() { open } else { healthy };
-        let near: Vec<&Candidate> =
+        let usable = if healthy.is_empty() { remaining } else { healthy };
+        let local: Vec<&Candidate> =
             usable.iter().copied().filter(|one| one.domain == self.domain).collect();
-        let pool = if self.has_room(now, &near) { near } else { usable };
-        let cached = affinity.and_then(|hash| self.pick_cached(now, &pool, hash));
-        cached.or_else(|| self.pick_of_two(now, &pool)).map(|one| one.id.clone())
+        let pool = if self.has_capacity(now, &local) { local } else { usable };
+        let by_affinity = affinity.and_then(|hash| self.pick_by_affinity(now, &pool, hash));
+        by_affinity.or_else(|| self.pick_least_loaded_of_two(now, &pool)).map(|one| one.id.clone())
     }
 
-    fn meet(&mut self, now: Moment, id: &BoxId) {
+    fn register(&mut self, now: Moment, id: &BoxId) {
         if self.views.contains_key(id) {
             return;
         }
         // Endpoints that were there when this entry began have been warm for long.
-        let first = self.views.is_empty() || now.since(Moment::ZERO) < WARM_UP;
-        let first_seen = if first { Moment::ZERO } else { now };
+        let at_startup = self.views.is_empty() || now.since(Moment::ZERO) < WARM_UP;
+        let first_seen = if at_startup { Moment::ZERO } else { now };
         let view = EndpointView {
             first_seen,
-            local: 0,
-            report: None,
+            in_progress: 0,
+            load_report: None,
             failures: 0,
             ejections: 0,
             ejected_until: Moment::ZERO,
@@ -112,7 +112,7 @@
         self.views.insert(id.clone(), view);
     }
 
-    fn is_open(&self, now: Moment, id: &BoxId) -> bool {
+    fn is_available(&self, now: Moment, id: &BoxId) -> bool {
         self.views.get(id).is_none_or(|view| view.ejected_until <= now)
     }
 
@@ -120,23 +120,27 @@
     fn load(&self, now: Moment, candidate: &Candidate) -> u32 {
         let slots = candidate.slots.max(1);
         let Some(view) = self.views.get(&candidate.id) else { return 0 };
-        let report = view.report.filter(|(_, at)| now.since(*at) < REPORT_LIFE);
+        let report = view.load_report.filter(|(_, at)| now.since(*at) < LOAD_REPORT_TTL);
         let reported = report.map_or(candidate.reported, |(load, _)| load);
-        let load = reported.max(view.local) * 1000 / slots;
+        let load = reported.max(view.in_progress) * 1000 / slots;
         let age = now.since(view.first_seen);
         if view.first_seen == Moment::ZERO || age >= WARM_UP {
             return load;
         }
-        let cold = 1000 - (age.as_millis() * 1000 / WARM_UP.as_millis()) as u32;
-        load + cold * (1 + view.local) * 1000 / slots / 1000
+        let ramp_remainder = 1000 - (age.as_millis() * 1000 / WARM_UP.as_millis()) as u32;
+        load + ramp_remainder * (1 + view.in_progress) * 1000 / slots / 1000
     }
 
-    fn has_room(&self, now: Moment, pool: &[&Candidate]) -> bool {
-        let full = |candidate: &&Candidate| self.load(now, candidate) >= SPILL_PERCENT * 10;
+    fn has_capacity(&self, now: Moment, pool: &[&Candidate]) -> bool {
+        let full = |candidate: &&Candidate| self.load(now, candidate) >= SPILLOVER_PERCENT * 10;
         !pool.is_empty() && !pool.iter().all(full)
     }
 
-    fn pick_of_two<'a>(&mut self, now: Moment, pool: &[&'a Candidate]) -> Option<&'a Candidate> {
+    fn pick_least_loaded_of_two<'a>(
+        &mut self,
+        now: Moment,
+        pool: &[&'a Candidate],
+    ) -> Option<&'a Candidate> {
         if pool.is_empty() {
             return None;
         }
@@ -146,7 +150,7 @@
     }
 
     /// The endpoint that the prompt's beginning hashes to, unless it is much busier than others.
-    fn pick_cached<'a>(
+    fn pick_by_affinity<'a>(
         &self,
         now: Moment,
         pool: &[&'a Candidate],
@@ -155,37 +159,37 @@
         let total: u32 = pool.iter().map(|one| self.load(now, one)).sum();
         let average = total / pool.len().max(1) as u32;
         // One request may always be added, or an idle fleet would have no affinity at all.
-        let fits = |one: &&&Candidate| {
+        let within_bound = |one: &&&Candidate| {
             let bound = average * AFFINITY_BOUND_PERCENT / 100 + 1000 / one.slots.max(1);
             self.load(now, one) <= bound
         };
         let score = |one: &&&Candidate| crate::hash::score(affinity, one.id.key());
-        pool.iter().filter(fits).max_by_key(score).copied()
+        pool.iter().filter(within_bound).max_by_key(score).copied()
     }
 
     /// A request was sent to an endpoint.
-    pub fn begin(&mut self, id: &BoxId) {
+    pub fn start_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.local += 1;
+            view.in_progress += 1;
         }
     }
 
     /// A request to an endpoint has ended.
-    pub fn end(&mut self, id: &BoxId) {
+    pub fn finish_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.local = view.local.saturating_sub(1);
+            view.in_progress = view.in_progress.saturating_sub(1);
         }
     }
 
     /// An answer carried a report about load.
-    pub fn report(&mut self, now: Moment, id: &BoxId, in_progress: u32) {
+    pub fn record_load(&mut self, now: Moment, id: &BoxId, in_progress: u32) {
         if let Some(view) = self.views.get_mut(id) {
-            view.report = Some((in_progress, now));
+            view.load_report = Some((in_progress, now));
         }
     }
 
     /// An endpoint answered.
-    pub fn succeed(&mut self, id: &BoxId) {
+    pub fn record_success(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
             view.failures = 0;
             view.ejections = 0;
@@ -194,19 +198,20 @@
 
     /// An endpoint failed; after a few times in a row it is left out for a while, and the next
     /// request to it afterwards is the probe that brings it back or leaves it out for longer.
-    pub fn fail(&mut self, now: Moment, id: &BoxId) {
+    pub fn record_failure(&mut self, now: Moment, id: &BoxId) {
         let Some(view) = self.views.get_mut(id) else { return };
         view.failures += 1;
-        if view.failures < EJECT_AFTER && view.ejections == 0 {
+        if view.failures < EJECTION_THRESHOLD && view.ejections == 0 {
             return;
         }
-        let time = FIRST_EJECTION.saturating_mul(1 << view.ejections.min(5)).min(LONGEST_EJECTION);
+        let ejection_time =
+            BASE_EJECTION_TIME.saturating_mul(1 << view.ejections.min(5)).min(MAX_EJECTION_TIME);
         view.ejections += 1;
-        view.ejected_until = now + time;
+        view.ejected_until = now + ejection_time;
     }
 
     /// Forgets endpoints that are not in `living` and have nothing in progress.
-    pub fn retain(&mut self, living: impl Fn(&BoxId) -> bool) {
-        self.views.retain(|id, view| view.local > 0 || living(id));
+    pub fn retain(&mut self, is_alive: impl Fn(&BoxId) -> bool) {
+        self.views.retain(|id, view| view.in_progress > 0 || is_alive(id));
     }
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -37,15 +37,15 @@
 
 impl Add<Duration> for Moment {
     type Output = Self;
-    fn add(self, rest: Duration) -> Self {
-        Self(self.0.saturating_add(rest.as_micros() as u64))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration.as_micros() as u64))
     }
 }
 
 impl Sub<Duration> for Moment {
     type Output = Self;
-    fn sub(self, rest: Duration) -> Self {
-        Self(self.0.saturating_sub(rest.as_micros() as u64))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
 }
 
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -10,11 +10,11 @@
     /// It answers.
     None,
     /// The call never comes.
-    Refused,
+    NotDelivered,
     /// It acts, and the answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// Nothing happens, and the caller cannot tell.
-    Nothing,
+    NoEffect,
 }
 
 /// The platform's fleet object.
@@ -27,24 +27,26 @@
 impl FakePlatform {
     fn call(&mut self, step: &ApplyStep, id: &ApplyId, fault: CallFault) -> ApplyEvent {
         match (step, fault) {
-            (_, CallFault::Refused)
-            | (ApplyStep::Read, CallFault::AnswerLost | CallFault::Nothing) => ApplyEvent::Failed,
+            (_, CallFault::NotDelivered)
+            | (ApplyStep::Read, CallFault::ResponseLost | CallFault::NoEffect) => {
+                ApplyEvent::Failed
+            }
             (ApplyStep::Read, CallFault::None) => {
                 let found = self.object.clone();
                 ApplyEvent::Read(found.map(|(version, id)| (ConfigRevision::new(version), id)))
             }
-            (ApplyStep::Write(_), CallFault::Nothing) => ApplyEvent::Unclear,
-            (ApplyStep::Write(on), fault) => {
+            (ApplyStep::Write(_), CallFault::NoEffect) => ApplyEvent::WriteUnknown,
+            (ApplyStep::Write(expected), fault) => {
                 let current = self.object.as_ref().map_or(0, |(version, _)| *version);
-                let holds = current == on.number();
-                if holds {
+                let matches = current == expected.number();
+                if matches {
                     self.object = Some((current + 1, id.clone()));
                     self.written.push(id.clone());
                 }
                 match fault {
-                    CallFault::AnswerLost => ApplyEvent::Unclear,
-                    _ if holds => ApplyEvent::Written(ConfigRevision::new(current + 1)),
-                    _ => ApplyEvent::Refused,
+                    CallFault::ResponseLost => ApplyEvent::WriteUnknown,
+                    _ if matches => ApplyEvent::Written(ConfigRevision::new(current + 1)),
+                    _ => ApplyEvent::WriteConflict,
                 }
             }
             (ApplyStep::Done(_), _) => unreachable!("a finished apply makes no call"),
@@ -58,22 +60,23 @@
 
 /// Every fault at every call of an apply, while nobody else writes.
 #[rstest]
-fn an_apply_tells_the_truth_whatever_is_lost(
-    #[values(1, 2, 3, 4)] at: usize,
-    #[values(CallFault::Refused, CallFault::AnswerLost, CallFault::Nothing)] fault: CallFault,
-    #[values(1, 3, 20)] times: usize,
+fn outcome_is_correct_under_platform_faults(
+    #[values(1, 2, 3, 4)] first_faulty_call: usize,
+    #[values(CallFault::NotDelivered, CallFault::ResponseLost, CallFault::NoEffect)]
+    fault: CallFault,
+    #[values(1, 3, 20)] fault_count: usize,
 ) {
     let mut platform = FakePlatform::default();
     let mut apply = FleetApply::new(id("mine"), None);
-    let mut step = apply.begin();
+    let mut step = apply.start();
     let mut call = 0;
     let outcome = loop {
         if let ApplyStep::Done(outcome) = step {
             break outcome;
         }
         call += 1;
-        let struck = call >= at && call < at + times;
-        let fault = if struck { fault } else { CallFault::None };
+        let is_faulty = call >= first_faulty_call && call < first_faulty_call + fault_count;
+        let fault = if is_faulty { fault } else { CallFault::None };
         step = apply.handle(platform.call(&step, &id("mine"), fault));
     };
     let took_effect = platform.written.len();
@@ -90,44 +93,44 @@
 
 /// Two operators race; the second comes in before each call of the first.
 #[rstest]
-fn of_two_operators_one_wins(
-    #[values(1, 2, 3, 4)] at: usize,
-    #[values(CallFault::None, CallFault::AnswerLost)] fault: CallFault,
+fn concurrent_applies_have_one_winner(
+    #[values(1, 2, 3, 4)] competing_call: usize,
+    #[values(CallFault::None, CallFault::ResponseLost)] fault: CallFault,
 ) {
     let mut platform = FakePlatform { object: Some((7, id("earlier"))), written: Vec::new() };
     let mut mine = FleetApply::new(id("mine"), Some(ConfigRevision::new(7)));
-    let mut step = mine.begin();
+    let mut step = mine.start();
     let mut call = 0;
     let outcome = loop {
         if let ApplyStep::Done(outcome) = step {
             break outcome;
         }
         call += 1;
-        if call == at {
+        if call == competing_call {
             let other = ApplyStep::Write(ConfigRevision::new(7));
             platform.call(&other, &id("theirs"), CallFault::None);
         }
-        let struck = matches!(step, ApplyStep::Write(_));
-        let fault = if struck { fault } else { CallFault::None };
+        let is_faulty = matches!(step, ApplyStep::Write(_));
+        let fault = if is_faulty { fault } else { CallFault::None };
         step = mine.handle(platform.call(&step, &id("mine"), fault));
     };
     assert_eq!(platform.written.len(), 1, "the other's write and ours cannot both hold");
     match outcome {
         ApplyOutcome::Applied(_) => assert_eq!(platform.written, [id("mine")]),
         ApplyOutcome::Conflict { .. } => assert_eq!(platform.written, [id("theirs")]),
-        ApplyOutcome::Unknown => assert_eq!(fault, CallFault::AnswerLost),
+        ApplyOutcome::Unknown => assert_eq!(fault, CallFault::ResponseLost),
         ApplyOutcome::NotApplied => panic!("the platform answered"),
     }
 }
 
 /// An operator who was told "unknown" resumes and learns the truth.
 #[test]
-fn a_lost_answer_is_recognised_on_resuming() {
+fn resumed_apply_recognises_its_own_write() {
     let mut platform = FakePlatform::default();
     let write = ApplyStep::Write(ConfigRevision::new(0));
-    platform.call(&write, &id("mine"), CallFault::AnswerLost);
-    let mut again = FleetApply::new(id("mine"), None);
-    let step = again.begin();
-    let step = again.handle(platform.call(&step, &id("mine"), CallFault::None));
+    platform.call(&write, &id("mine"), CallFault::ResponseLost);
+    let mut resumed = FleetApply::new(id("mine"), None);
+    let step = resumed.start();
+    let step = resumed.handle(platform.call(&step, &id("mine"), CallFault::None));
     assert_eq!(step, ApplyStep::Done(ApplyOutcome::Applied(ConfigRevision::new(1))));
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use headlatch_core::{
-    membership::{GossipPacket, NodeKind, NodeRecord, NodeTable, PACKET_BEATS, PACKET_RECORDS},
+    membership::{
+        GossipPacket, MAX_PACKET_HEARTBEATS, MAX_PACKET_RECORDS, NodeKind, NodeRecord, NodeTable,
+    },
     time::Moment,
 };
 use headlatch_types::quantity::ConfigRevision;
@@ -26,20 +28,20 @@
 }
 
 /// Tables that exchange packets once a second.
-struct FakeNet {
+struct SimulatedNetwork {
     tables: BTreeMap<std::net::SocketAddr, NodeTable>,
     rng: SmallRng,
     second: u32,
 }
 
-impl FakeNet {
+impl SimulatedNetwork {
     fn new(count: usize) -> Self {
         let records: Vec<NodeRecord> = (0..count).map(record).collect();
         let seeds: Vec<_> = records.iter().take(3).map(|one| one.control).collect();
         let tables = records.into_iter().map(|own| {
             let control = own.control;
             let mut table = NodeTable::new(own);
-            table.seed(seeds.clone());
+            table.set_seeds(seeds.clone());
             (control, table)
         });
         Self { tables: tables.collect(), rng: SmallRng::seed_from_u64(1), second: 0 }
@@ -51,8 +53,12 @@
         let addresses: Vec<_> = self.tables.keys().copied().collect();
         for from in addresses {
             let table = self.tables.get_mut(&from).unwrap();
-            let (target, packet) = (table.target(now, &mut self.rng), table.packet(self.second));
-            assert!(packet.records.len() <= PACKET_RECORDS && packet.beats.len() <= PACKET_BEATS);
+            let (target, packet) =
+                (table.choose_target(now, &mut self.rng), table.next_packet(self.second));
+            assert!(
+                packet.records.len() <= MAX_PACKET_RECORDS
+                    && packet.beats.len() <= MAX_PACKET_HEARTBEATS
+            );
             if let Some(target) = target {
                 self.deliver(now, from, target, packet);
             }
@@ -67,12 +73,12 @@
         packet: GossipPacket,
     ) {
         let Some(table) = self.tables.get_mut(&to) else { return };
-        let mut answers = table.answers(&packet);
+        let mut replies = table.replies(&packet);
         let outcome = table.merge(now, packet);
-        if !outcome.unknown.is_empty() {
-            answers.push(table.ask(outcome.unknown));
+        if !outcome.missing_records.is_empty() {
+            replies.push(table.request_records(outcome.missing_records));
         }
-        answers.into_iter().for_each(|answer| self.deliver(now, to, from, answer));
+        replies.into_iter().for_each(|reply| self.deliver(now, to, from, reply));
     }
 
     fn now(&self) -> Moment {
@@ -81,41 +87,42 @@
 }
 
 #[test]
-fn everybody_hears_of_everybody_and_of_the_dead() {
-    let mut net = FakeNet::new(60);
-    (0..30).for_each(|_| net.step());
-    for table in net.tables.values() {
-        assert_eq!(table.living(net.now()).count(), 59, "{}", table.own().id);
+fn all_nodes_learn_of_joins_and_failures() {
+    let mut network = SimulatedNetwork::new(60);
+    (0..30).for_each(|_| network.step());
+    for table in network.tables.values() {
+        assert_eq!(table.alive_nodes(network.now()).count(), 59, "{}", table.own().id);
     }
-    let gone = record(7).control;
-    net.tables.remove(&gone);
-    (0..60).for_each(|_| net.step());
-    for table in net.tables.values() {
-        assert!(table.living(net.now()).all(|one| one.control != gone));
-        assert_eq!(table.living(net.now()).count(), 58);
+    let removed = record(7).control;
+    network.tables.remove(&removed);
+    (0..60).for_each(|_| network.step());
+    for table in network.tables.values() {
+        assert!(table.alive_nodes(network.now()).all(|one| one.control != removed));
+        assert_eq!(table.alive_nodes(network.now()).count(), 58);
     }
 }
 
 #[test]
-fn a_change_reaches_everybody_even_those_whom_its_news_missed() {
-    let mut net = FakeNet::new(60);
-    (0..30).for_each(|_| net.step());
+fn updates_reach_all_nodes() {
+    let mut network = SimulatedNetwork::new(60);
+    (0..30).for_each(|_| network.step());
     let changed = record(11);
-    net.tables.get_mut(&changed.control).unwrap().update(|own| own.leaving = true);
-    (0..30).for_each(|_| net.step());
-    for table in net.tables.values().filter(|table| table.own().id != changed.id) {
-        let seen = table.living(net.now()).find(|one| one.id == changed.id).expect("it lives");
+    network.tables.get_mut(&changed.control).unwrap().update(|own| own.leaving = true);
+    (0..30).for_each(|_| network.step());
+    for table in network.tables.values().filter(|table| table.own().id != changed.id) {
+        let seen =
+            table.alive_nodes(network.now()).find(|one| one.id == changed.id).expect("it lives");
         assert!(seen.leaving, "{} has not heard", table.own().id);
     }
 }
 
 #[test]
-fn an_older_start_of_a_box_never_replaces_a_later_one() {
+fn older_incarnation_never_replaces_newer() {
     let mut table = NodeTable::new(record(0));
     let later = NodeRecord { incarnation: 2, version: 1, ..record(1) };
     let older = NodeRecord { incarnation: 1, version: 9, leaving: true, ..record(1) };
     for one in [later, older] {
         table.merge(Moment::ZERO, GossipPacket { records: vec![one], ..GossipPacket::default() });
     }
-    assert!(table.living(Moment::ZERO).all(|one| !one.leaving && one.incarnation == 2));
+    assert!(table.alive_nodes(Moment::ZERO).all(|one| !one.leaving && one.incarnation == 2));
 }
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use headlatch_core::{
-    admission::{Admission, FairQueue, RefusalReason, ShareTerms, TicketNumber},
-    keys::{KeyAnswer, KeyLedger},
+    admission::{Admission, FairQueue, OrganisationQuota, RefusalReason, RequestNumber},
+    keys::{IdempotencyKeys, KeyClaim},
     retry::RetryBudget,
     routing::{Candidate, EndpointPicker},
     time::Moment,
@@ -16,77 +16,77 @@
     Moment::from_micros(millis * 1000)
 }
 
-fn terms(share: u32) -> ShareTerms {
-    ShareTerms { share, most_in_progress: None }
+fn quota(share: u32) -> OrganisationQuota {
+    OrganisationQuota { share, max_in_progress: None }
 }
 
 /// Two organisations ask for far more than there is; what runs follows their shares.
 #[test]
-fn capacity_follows_shares_when_all_want_more() {
+fn capacity_is_split_by_share_under_overload() {
     let names: [OrganisationName; 2] = ["large", "small"].map(|name| name.parse().unwrap());
-    let share = |name: &OrganisationName| terms(if name.as_str() == "large" { 3 } else { 1 });
+    let share = |name: &OrganisationName| quota(if name.as_str() == "large" { 3 } else { 1 });
     let mut queue = FairQueue::new(4, 40, Duration::from_secs(1));
     let (mut number, mut running) = (0, Vec::new());
     let mut owners = BTreeMap::new();
-    let mut ran: BTreeMap<OrganisationName, u32> = BTreeMap::new();
+    let mut completed: BTreeMap<OrganisationName, u32> = BTreeMap::new();
     for round in 0..1000 {
         for name in &names {
             // The large one asks five times as often as the small one.
             for _ in 0..if name.as_str() == "large" { 10 } else { 2 } {
                 number += 1;
-                owners.insert(TicketNumber(number), name.clone());
-                if queue.arrive(at(round), TicketNumber(number), name, share(name))
+                owners.insert(RequestNumber(number), name.clone());
+                if queue.admit(at(round), RequestNumber(number), name, share(name))
                     == Admission::Run
                 {
-                    running.push(TicketNumber(number));
+                    running.push(RequestNumber(number));
                 }
             }
         }
-        for done in std::mem::take(&mut running) {
-            *ran.entry(owners[&done].clone()).or_default() += 1;
-            queue.end(&owners[&done]);
+        for finished in std::mem::take(&mut running) {
+            *completed.entry(owners[&finished].clone()).or_default() += 1;
+            queue.finish(&owners[&finished]);
         }
-        running.extend(queue.release(share));
+        running.extend(queue.dequeue(share));
         queue.expire(at(round));
     }
-    let (large, small) = (ran[&names[0]], ran[&names[1]]);
+    let (large, small) = (completed[&names[0]], completed[&names[1]]);
     assert!((29..=31).contains(&(large * 10 / small)), "{large} to {small}");
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_a_long_wait_ends() {
+fn full_queue_rejects_and_waiting_requests_time_out() {
     let name: OrganisationName = "one".parse().unwrap();
     let mut queue = FairQueue::new(1, 1, Duration::from_millis(100));
-    let mut arrive = |now, number| queue.arrive(at(now), TicketNumber(number), &name, terms(1));
-    assert_eq!(arrive(0, 1), Admission::Run);
-    assert_eq!(arrive(0, 2), Admission::Wait);
-    assert_eq!(arrive(0, 3), Admission::Refuse(RefusalReason::QueueFull));
+    let mut admit = |now, number| queue.admit(at(now), RequestNumber(number), &name, quota(1));
+    assert_eq!(admit(0, 1), Admission::Run);
+    assert_eq!(admit(0, 2), Admission::Wait);
+    assert_eq!(admit(0, 3), Admission::Refuse(RefusalReason::QueueFull));
     assert_eq!(queue.expire(at(99)), []);
-    assert_eq!(queue.expire(at(100)), [TicketNumber(2)]);
+    assert_eq!(queue.expire(at(100)), [RequestNumber(2)]);
 }
 
 #[test]
-fn retries_add_a_tenth_when_everything_fails() {
+fn retries_add_ten_percent_when_all_requests_fail() {
     let mut budget = RetryBudget::new(Moment::ZERO);
     let retries = (0..10_000)
         .filter(|_| {
-            budget.earn(Moment::ZERO);
-            budget.spend(Moment::ZERO)
+            budget.deposit(Moment::ZERO);
+            budget.try_withdraw(Moment::ZERO)
         })
         .count();
     assert!((1000..=1010).contains(&retries), "{retries}");
 }
 
 #[test]
-fn a_key_runs_once() {
-    let mut ledger = KeyLedger::default();
-    assert_eq!(ledger.take(at(0), "k"), KeyAnswer::Fresh);
-    assert_eq!(ledger.take(at(1), "k"), KeyAnswer::InProgress);
-    ledger.spend("k");
-    assert_eq!(ledger.take(at(2), "k"), KeyAnswer::Spent);
-    ledger.take(at(3), "unrun");
-    ledger.release("unrun");
-    assert_eq!(ledger.take(at(4), "unrun"), KeyAnswer::Fresh);
+fn idempotency_key_runs_once() {
+    let mut keys = IdempotencyKeys::default();
+    assert_eq!(keys.claim(at(0), "k"), KeyClaim::Fresh);
+    assert_eq!(keys.claim(at(1), "k"), KeyClaim::InProgress);
+    keys.mark_spent("k");
+    assert_eq!(keys.claim(at(2), "k"), KeyClaim::Spent);
+    keys.claim(at(3), "unrun");
+    keys.release("unrun");
+    assert_eq!(keys.claim(at(4), "unrun"), KeyClaim::Fresh);
 }
 
 fn candidates(count: u32) -> Vec<Candidate> {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn stale_reports_do_not_draw_all_requests_to_one_endpoint() {
+fn stale_load_reports_do_not_concentrate_requests() {
     let mut picker = picker();
     let mut candidates = candidates(10);
     // All but one reported a high load some time ago; the picker has only that to go by.
@@ -113,51 +113,53 @@
     let mut counts: BTreeMap<BoxId, u32> = BTreeMap::new();
     for _ in 0..100 {
         let id = picker.pick(at(0), &candidates, &[], None).unwrap();
-        picker.begin(&id);
+        picker.start_request(&id);
         *counts.entry(id).or_default() += 1;
     }
     assert!(counts.values().all(|count| *count <= 15), "{counts:?}");
 }
 
 #[test]
-fn an_endpoint_that_fails_is_left_out_and_probed_again() {
+fn failing_endpoint_is_ejected_and_probed() {
     let mut picker = picker();
     let candidates = candidates(2);
-    let bad = candidates[0].id.clone();
+    let failing = candidates[0].id.clone();
     picker.pick(at(0), &candidates, &[], None);
-    (0..3).for_each(|_| picker.fail(at(0), &bad));
-    let chosen = |picker: &mut EndpointPicker, now| {
-        (0..50).filter_map(|_| picker.pick(at(now), &candidates, &[], None)).any(|id| id == bad)
+    (0..3).for_each(|_| picker.record_failure(at(0), &failing));
+    let is_picked = |picker: &mut EndpointPicker, now| {
+        (0..50).filter_map(|_| picker.pick(at(now), &candidates, &[], None)).any(|id| id == failing)
     };
-    assert!(!chosen(&mut picker, 1000));
-    assert!(chosen(&mut picker, 2500), "it is probed");
-    picker.fail(at(2500), &bad);
-    assert!(!chosen(&mut picker, 6000), "and left out for longer");
-    assert!(chosen(&mut picker, 6600));
+    assert!(!is_picked(&mut picker, 1000));
+    assert!(is_picked(&mut picker, 2500), "it is probed");
+    picker.record_failure(at(2500), &failing);
+    assert!(!is_picked(&mut picker, 6000), "and left out for longer");
+    assert!(is_picked(&mut picker, 6600));
 }
 
 #[test]
-fn the_own_domain_is_left_only_when_it_is_full() {
+fn remote_domain_is_used_only_when_local_is_full() {
     let mut picker = picker();
     let mut candidates = candidates(4);
     candidates[3].domain = "b".parse().unwrap();
-    let far = candidates[3].id.clone();
+    let remote = candidates[3].id.clone();
     let mut picked = Vec::new();
     for _ in 0..40 {
         let id = picker.pick(at(0), &candidates, &[], None).unwrap();
-        picker.begin(&id);
+        picker.start_request(&id);
         picked.push(id);
     }
-    let first_far = picked.iter().position(|id| *id == far).expect("it spills over");
-    assert!(first_far >= 25, "the first far request was number {first_far}");
+    let first_remote = picked.iter().position(|id| *id == remote).expect("it spills over");
+    assert!(first_remote >= 25, "the first far request was number {first_remote}");
 }
 
 #[test]
-fn a_prompt_stays_where_it_is_cached_until_that_is_much_busier() {
+fn prompt_affinity_holds_until_endpoint_is_overloaded() {
     let mut picker = picker();
     let candidates = candidates(10);
-    let home = picker.pick(at(0), &candidates, &[], Some(42)).unwrap();
-    assert!((0..20).all(|_| picker.pick(at(0), &candidates, &[], Some(42)) == Some(home.clone())));
-    (0..10).for_each(|_| picker.begin(&home));
-    assert_ne!(picker.pick(at(0), &candidates, &[], Some(42)), Some(home));
+    let preferred = picker.pick(at(0), &candidates, &[], Some(42)).unwrap();
+    assert!(
+        (0..20).all(|_| picker.pick(at(0), &candidates, &[], Some(42)) == Some(preferred.clone()))
+    );
+    (0..10).for_each(|_| picker.start_request(&preferred));
+    assert_ne!(picker.pick(at(0), &candidates, &[], Some(42)), Some(preferred));
 }
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -17,9 +17,9 @@
     },
     config::{ConfigHolder, FleetObject},
     gate::{EngineReport, GateStep, TargetSet, WeightGate},
-    keys::{KeyAnswer, KeyLedger},
+    keys::{IdempotencyKeys, KeyClaim},
     placement::{EngineBox, Placement, place},
-    rollover::{ReplicaView, may_change},
+    rollover::{ReplicaView, may_switch},
     routing::{Candidate, EndpointPicker},
     time::Moment,
 };
@@ -38,7 +38,7 @@
     [("north-1", "north"), ("north-2", "north"), ("south-1", "south"), ("south-2", "south")];
 
 /// One box: its gate, its engine's state, and what it holds of each version.
-struct SessionBox {
+struct SimulatedBox {
     id: BoxId,
     domain: &'static str,
     gate: WeightGate,
@@ -48,15 +48,15 @@
 struct Session {
     log: String,
     now: Moment,
-    holder: ConfigHolder,
-    boxes: Vec<SessionBox>,
+    config: ConfigHolder,
+    boxes: Vec<SimulatedBox>,
     version: u64,
     writer: Option<ApplyId>,
 }
 
 impl Session {
     fn new() -> Self {
-        let fresh = |(id, domain): &(&str, &'static str)| SessionBox {
+        let new_box = |(id, domain): &(&str, &'static str)| SimulatedBox {
             id: id.parse().unwrap(),
             domain,
             gate: WeightGate::closed(),
@@ -65,14 +65,14 @@
         Self {
             log: String::new(),
             now: Moment::ZERO,
-            holder: ConfigHolder::default(),
-            boxes: BOXES.iter().map(fresh).collect(),
+            config: ConfigHolder::default(),
+            boxes: BOXES.iter().map(new_box).collect(),
             version: 0,
             writer: None,
         }
     }
 
-    fn say(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         writeln!(self.log, "{line}").unwrap();
     }
 
@@ -82,11 +82,11 @@
     }
 
     fn plan(&self) -> FleetPlan {
-        self.holder.current().plan.clone()
+        self.config.current().plan.clone()
     }
 
     fn placement(&self) -> Placement {
-        let engine = |one: &SessionBox| EngineBox {
+        let engine = |one: &SimulatedBox| EngineBox {
             id: one.id.clone(),
             domain: one.domain.parse().unwrap(),
         };
@@ -94,147 +94,150 @@
     }
 
     /// An operator applies a file; `lost` loses the answer to the write, `on` is what it is based on.
-    fn apply(&mut self, operator: &str, fleet: &str, on: Option<u64>, lost: bool) {
-        self.say(&format!("\n# {operator} applies a file"));
+    fn apply(&mut self, operator: &str, fleet: &str, based_on: Option<u64>, response_lost: bool) {
+        self.log_line(&format!("\n# {operator} applies a file"));
         let id: ApplyId = operator.parse().unwrap();
-        let mut apply = FleetApply::new(id.clone(), on.map(ConfigRevision::new));
-        let mut step = apply.begin();
+        let mut apply = FleetApply::new(id.clone(), based_on.map(ConfigRevision::new));
+        let mut step = apply.start();
         loop {
-            self.say(&format!("  {step:?}"));
+            self.log_line(&format!("  {step:?}"));
             let event = match &step {
                 ApplyStep::Done(outcome) => {
                     if let ApplyOutcome::Applied(revision) = outcome {
                         let object =
                             FleetObject { apply_id: id.to_string(), fleet: fleet.to_owned() };
                         let text = serde_json::to_string(&object).unwrap();
-                        let taken = self.holder.offer(*revision, &text);
-                        self.say(&format!("  in force: revision {revision}, {taken:?}"));
+                        let taken = self.config.offer(*revision, &text);
+                        self.log_line(&format!("  in force: revision {revision}, {taken:?}"));
                     }
                     return;
                 }
                 ApplyStep::Read => ApplyEvent::Read(
                     self.writer.clone().map(|id| (ConfigRevision::new(self.version), id)),
                 ),
-                ApplyStep::Write(on) if on.number() == self.version => {
+                ApplyStep::Write(based_on) if based_on.number() == self.version => {
                     self.version += 1;
                     self.writer = Some(id.clone());
                     let written = ApplyEvent::Written(ConfigRevision::new(self.version));
-                    if lost { ApplyEvent::Unclear } else { written }
+                    if response_lost { ApplyEvent::WriteUnknown } else { written }
                 }
-                ApplyStep::Write(_) => ApplyEvent::Refused,
+                ApplyStep::Write(_) => ApplyEvent::WriteConflict,
             };
             step = apply.handle(event);
         }
     }
 
     /// Spreads the wanted version; chunks in `kept` are held by everybody already.
-    fn burst(&mut self, kept: &[u32]) {
-        self.say("\n# burst");
-        let seats: Vec<PeerLocation> = self.boxes.iter().map(seat).collect();
+    fn burst(&mut self, initially_held: &[u32]) {
+        self.log_line("\n# burst");
+        let peers: Vec<PeerLocation> = self.boxes.iter().map(location).collect();
         let mut planners: BTreeMap<PeerKey, SwarmPlanner> = BTreeMap::new();
         let mut queue: VecDeque<(PeerKey, SwarmEvent)> = VecDeque::new();
-        for seat in &seats {
+        for location in &peers {
             let mut settings =
                 SwarmSettings::new(CHUNKS, Duration::from_millis(20), Duration::from_millis(10));
             settings.prefer = BurstPreference::OriginBytes;
             let mut held = ChunkSet::new(CHUNKS);
-            kept.iter().for_each(|chunk| {
+            initially_held.iter().for_each(|chunk| {
                 held.insert(ChunkIndex(*chunk));
             });
-            planners.insert(seat.key, SwarmPlanner::begin(settings, 1, *seat, held, self.now));
-            queue.push_back((seat.key, SwarmEvent::Peers(seats.clone())));
+            planners
+                .insert(location.key, SwarmPlanner::begin(settings, 1, *location, held, self.now));
+            queue.push_back((location.key, SwarmEvent::Peers(peers.clone())));
         }
         for _ in 0..100 {
             while let Some((to, event)) = queue.pop_front() {
                 let actions = planners.get_mut(&to).unwrap().handle(self.now, event);
                 for action in actions {
-                    self.act(to, action, &planners, &mut queue);
+                    self.apply_action(to, action, &planners, &mut queue);
                 }
             }
             if planners.values().all(SwarmPlanner::is_complete) {
                 return;
             }
             self.now = self.now + Duration::from_millis(200);
-            queue.extend(seats.iter().map(|seat| (seat.key, SwarmEvent::Tick)));
+            queue.extend(peers.iter().map(|location| (location.key, SwarmEvent::Tick)));
         }
-        self.say("  the burst did not end");
+        self.log_line("  the burst did not end");
     }
 
-    fn act(
+    fn apply_action(
         &mut self,
-        me: PeerKey,
+        local: PeerKey,
         action: SwarmAction,
         planners: &BTreeMap<PeerKey, SwarmPlanner>,
         queue: &mut VecDeque<(PeerKey, SwarmEvent)>,
     ) {
-        let own = ChunkSource::Peer(me);
+        let own = ChunkSource::Peer(local);
         match action {
             SwarmAction::Fetch { chunk, source: ChunkSource::Peer(from) } => {
-                let held = planners[&me].progress().held;
-                queue.push_back((from, SwarmEvent::Requested { from: me, chunk, held }));
+                let held = planners[&local].progress().held;
+                queue.push_back((from, SwarmEvent::Requested { from: local, chunk, held }));
             }
             SwarmAction::Fetch { chunk, source } => {
-                self.say(&format!("  {} draws chunk {chunk} from {source:?}", self.name(me)));
-                queue.push_back((me, SwarmEvent::Verified { chunk, source }));
+                self.log_line(&format!(
+                    "  {} draws chunk {chunk} from {source:?}",
+                    self.name(local)
+                ));
+                queue.push_back((local, SwarmEvent::Verified { chunk, source }));
             }
             SwarmAction::Grant { to, chunk } => {
                 queue.push_back((to, SwarmEvent::Granted { chunk, source: own }));
             }
             SwarmAction::AcceptGrant { chunk, source } => {
                 if let ChunkSource::Peer(from) = source {
-                    self.say(&format!(
+                    self.log_line(&format!(
                         "  {} gets chunk {chunk} from {}",
-                        self.name(me),
+                        self.name(local),
                         self.name(from)
                     ));
-                    queue.push_back((from, SwarmEvent::Sent { to: me, chunk }));
+                    queue.push_back((from, SwarmEvent::Sent { to: local, chunk }));
                 }
-                queue.push_back((me, SwarmEvent::Verified { chunk, source }));
+                queue.push_back((local, SwarmEvent::Verified { chunk, source }));
             }
             SwarmAction::DeferGrant { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::GrantDeferred { from: me, chunk }));
+                queue.push_back((from, SwarmEvent::GrantDeferred { from: local, chunk }));
             }
             SwarmAction::ResumeGrant { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::GrantResumed { from: me, chunk }));
+                queue.push_back((from, SwarmEvent::GrantResumed { from: local, chunk }));
             }
             SwarmAction::Refuse { to, chunk, failure } => {
                 queue.push_back((to, SwarmEvent::Failed { chunk, source: own, failure }));
             }
             SwarmAction::SendNote { to, note } => {
-                let pulse = planners[&me].status();
-                queue.push_back((to, SwarmEvent::Note { from: me, note, status: pulse }));
+                let status = planners[&local].status();
+                queue.push_back((to, SwarmEvent::Note { from: local, note, status }));
             }
             SwarmAction::Cancel { chunk, source: ChunkSource::Peer(from) } => {
-                queue.push_back((from, SwarmEvent::RequestCancelled { from: me, chunk }));
+                queue.push_back((from, SwarmEvent::RequestCancelled { from: local, chunk }));
             }
-            SwarmAction::Complete => self.say(&format!("  {} is whole", self.name(me))),
+            SwarmAction::Complete => self.log_line(&format!("  {} is whole", self.name(local))),
             _ => {}
         }
     }
 
     /// Lets boxes change to the wanted set, each in its turn, until none is left.
-    fn change(&mut self) {
-        self.say("\n# gates");
+    fn switch_version(&mut self) {
+        self.log_line("\n# gates");
         let plan = self.plan();
         let (placement, model) = (self.placement(), &plan.models[0]);
         let parts = model.parts().iter().map(|part| part.manifest).collect();
         let target = TargetSet { key: model.set_key(), parts };
         for _ in 0..20 {
-            for at in 0..self.boxes.len() {
-                let views = self.views(at, &placement, target.key);
-                let kept = model.kept_in(&self.boxes[at].domain.parse().unwrap());
-                let rank = placement[&self.boxes[at].id].rank;
-                let turn = may_change(rank, 1 + views.len() as u32, kept, &views);
-                self.change_one(at, &target, turn);
+            for index in 0..self.boxes.len() {
+                let views = self.views(index, &placement, target.key);
+                let min_serving = model.kept_in(&self.boxes[index].domain.parse().unwrap());
+                let rank = placement[&self.boxes[index].id].rank;
+                let in_turn = may_switch(rank, 1 + views.len() as u32, min_serving, &views);
+                self.advance_box(index, &target, in_turn);
             }
         }
     }
 
-    fn views(&self, at: usize, placement: &Placement, wanted: SetKey) -> Vec<ReplicaView> {
-        let others = self
-            .boxes
-            .iter()
-            .filter(|other| other.domain == self.boxes[at].domain && other.id != self.boxes[at].id);
+    fn views(&self, index: usize, placement: &Placement, wanted: SetKey) -> Vec<ReplicaView> {
+        let others = self.boxes.iter().filter(|other| {
+            other.domain == self.boxes[index].domain && other.id != self.boxes[index].id
+        });
         others
             .map(|other| ReplicaView {
                 rank: placement[&other.id].rank,
@@ -244,34 +247,34 @@
             .collect()
     }
 
-    fn change_one(&mut self, at: usize, target: &TargetSet, turn: bool) {
-        let one = &mut self.boxes[at];
+    fn advance_box(&mut self, index: usize, target: &TargetSet, in_turn: bool) {
+        let one = &mut self.boxes[index];
         let id = one.id.clone();
-        one.gate.aim(Some(target.clone()));
-        target.parts.iter().for_each(|part| one.gate.verify(*part));
+        one.gate.set_target(Some(target.clone()));
+        target.parts.iter().for_each(|part| one.gate.mark_verified(*part));
         let mut lines = Vec::new();
-        if matches!(one.gate.step(), GateStep::Ready(_)) {
-            if one.gate.serving().is_some() && turn {
-                one.gate.close();
+        if matches!(one.gate.next_step(), GateStep::Ready(_)) {
+            if one.gate.serving().is_some() && in_turn {
+                one.gate.stop_serving();
                 lines.push(format!("  {id} closes to change"));
-            } else if let Some((set, token)) = one.gate.order(one.engine) {
+            } else if let Some((set, token)) = one.gate.issue_order(one.engine) {
                 one.engine = EngineReport { token, loaded: Some(set), loading: false };
                 lines.push(format!("  {id} orders with token {token}"));
             }
         }
         let before = one.gate.serving();
-        one.gate.observe(one.engine);
+        one.gate.handle_report(one.engine);
         if before.is_none() && one.gate.serving().is_some() {
             lines.push(format!("  {id} serves"));
         }
-        lines.iter().for_each(|line| self.say(line));
+        lines.iter().for_each(|line| self.log_line(line));
     }
 
     /// Sends requests: repeatable ones, one whose endpoint refuses, one with a key sent twice.
     fn requests(&mut self) {
-        self.say("\n# requests");
+        self.log_line("\n# requests");
         let mut picker = EndpointPicker::new("north".parse().unwrap(), SmallRng::seed_from_u64(3));
-        let candidate = |one: &SessionBox| Candidate {
+        let candidate = |one: &SimulatedBox| Candidate {
             id: one.id.clone(),
             domain: one.domain.parse().unwrap(),
             slots: 2,
@@ -280,39 +283,43 @@
         let candidates: Vec<Candidate> = self.boxes.iter().map(candidate).collect();
         for nth in 1..=4 {
             let id = picker.pick(self.now, &candidates, &[], None).unwrap();
-            picker.begin(&id);
-            self.say(&format!("  request {nth} runs at {id}: {}", RunVerdict::Ran));
+            picker.start_request(&id);
+            self.log_line(&format!("  request {nth} runs at {id}: {}", RunVerdict::Ran));
         }
         let refused = picker.pick(self.now, &candidates, &[], None).unwrap();
         let permit = RetryPermit::after(RunVerdict::NotRun, Repeatability::Once);
         let next =
             picker.pick(self.now, &candidates, std::slice::from_ref(&refused), None).unwrap();
-        self.say(&format!("  request 5 is refused at {refused}, {permit:?}, and runs at {next}"));
-        let lost = RetryPermit::after(RunVerdict::MayHaveRun, Repeatability::Once);
-        self.say(&format!("  a notice whose answer is lost may be sent again: {lost:?}"));
-        let mut ledger = KeyLedger::default();
-        let first = ledger.take(self.now, "notice-1");
-        ledger.spend("notice-1");
-        let second = ledger.take(self.now, "notice-1");
-        assert_eq!((first, second), (KeyAnswer::Fresh, KeyAnswer::Spent));
-        self.say(&format!("  the same key twice: {first:?}, then {second:?}"));
+        self.log_line(&format!(
+            "  request 5 is refused at {refused}, {permit:?}, and runs at {next}"
+        ));
+        let may_have_run = RetryPermit::after(RunVerdict::MayHaveRun, Repeatability::Once);
+        self.log_line(&format!(
+            "  a notice whose answer is lost may be sent again: {may_have_run:?}"
+        ));
+        let mut keys = IdempotencyKeys::default();
+        let first = keys.claim(self.now, "notice-1");
+        keys.mark_spent("notice-1");
+        let second = keys.claim(self.now, "notice-1");
+        assert_eq!((first, second), (KeyClaim::Fresh, KeyClaim::Spent));
+        self.log_line(&format!("  the same key twice: {first:?}, then {second:?}"));
     }
 
     /// One box leaves; it is chosen no more.
     fn drain(&mut self) {
-        self.say("\n# drain");
-        let gone = self.boxes.remove(0);
-        self.say(&format!("  {} leaves", gone.id));
+        self.log_line("\n# drain");
+        let drained = self.boxes.remove(0);
+        self.log_line(&format!("  {} leaves", drained.id));
         let placement = self.placement();
         let lines: Vec<String> = placement
             .iter()
             .map(|(id, one)| format!("  {id} is replica {} of model {}", one.rank, one.model))
             .collect();
-        lines.iter().for_each(|line| self.say(line));
+        lines.iter().for_each(|line| self.log_line(line));
     }
 }
 
-fn seat(one: &SessionBox) -> PeerLocation {
+fn location(one: &SimulatedBox) -> PeerLocation {
     let domain = headlatch_types::digest::key_of(one.domain.as_bytes());
     PeerLocation { key: PeerKey(one.id.key()), domain, region: domain }
 }
@@ -334,21 +341,21 @@
     session.apply("alice", &fleet("1"), None, true);
     session.apply("bob", &fleet("0"), Some(0), false);
     session.burst(&[]);
-    session.change();
+    session.switch_version();
     session.requests();
     session.apply("bob", &fleet("2"), Some(1), false);
     session.burst(&[0, 1, 2]);
-    session.change();
+    session.switch_version();
     session.drain();
     session.log
 }
 
 #[test]
-fn a_session_reads_as_it_did() {
+fn golden_session_matches_snapshot() {
     insta::assert_snapshot!(run());
 }
 
 #[test]
-fn a_session_is_the_same_every_time() {
+fn session_is_deterministic() {
     assert_eq!(run(), run());
 }
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -6,7 +6,7 @@
     config::{ConfigHolder, FleetObject, OfferOutcome},
     gate::{EngineReport, GateStep, TargetSet, WeightGate},
     placement::{EngineBox, place},
-    rollover::{ReplicaView, may_change},
+    rollover::{ReplicaView, may_switch},
 };
 use headlatch_types::{
     Digest, FleetPlan,
@@ -25,63 +25,67 @@
 }
 
 #[test]
-fn a_gate_opens_only_for_the_whole_set_ordered_and_confirmed() {
+fn gate_serves_only_complete_confirmed_set() {
     let mut gate = WeightGate::closed();
-    gate.aim(Some(target(1, &[b"base", b"adapter"])));
-    gate.verify(Digest::of(b"base"));
-    assert_eq!(gate.step(), GateStep::Wait, "the adapter is missing");
-    gate.verify(Digest::of(b"adapter"));
-    assert_eq!(gate.step(), GateStep::Ready(SetKey(1)));
-    gate.observe(report(9, Some(1), false));
+    gate.set_target(Some(target(1, &[b"base", b"adapter"])));
+    gate.mark_verified(Digest::of(b"base"));
+    assert_eq!(gate.next_step(), GateStep::Wait, "the adapter is missing");
+    gate.mark_verified(Digest::of(b"adapter"));
+    assert_eq!(gate.next_step(), GateStep::Ready(SetKey(1)));
+    gate.handle_report(report(9, Some(1), false));
     assert_eq!(gate.serving(), None, "nobody ordered what the engine has");
-    let (_, token) = gate.order(report(9, None, false)).expect("it is ready");
+    let (_, token) = gate.issue_order(report(9, None, false)).expect("it is ready");
     assert_eq!(token, FencingToken::new(10));
-    gate.observe(report(10, None, true));
+    gate.handle_report(report(10, None, true));
     assert_eq!(gate.serving(), None, "it is still loading");
-    gate.observe(report(10, Some(1), false));
+    gate.handle_report(report(10, Some(1), false));
     assert_eq!(gate.serving(), Some(SetKey(1)));
 }
 
 #[test]
-fn a_gate_closes_when_the_engine_names_another_order() {
+fn gate_closes_on_unknown_order() {
     let mut gate = WeightGate::closed();
-    gate.aim(Some(target(1, &[b"base"])));
-    gate.verify(Digest::of(b"base"));
-    gate.order(report(0, None, false)).expect("it is ready");
-    gate.observe(report(1, Some(1), false));
+    gate.set_target(Some(target(1, &[b"base"])));
+    gate.mark_verified(Digest::of(b"base"));
+    gate.issue_order(report(0, None, false)).expect("it is ready");
+    gate.handle_report(report(1, Some(1), false));
     // Somebody else gave an order, though for the same set: what runs is no longer known.
-    gate.observe(report(2, Some(1), false));
+    gate.handle_report(report(2, Some(1), false));
     assert_eq!(gate.serving(), None);
-    let (_, token) = gate.order(report(2, Some(1), false)).expect("a new order may be given");
+    let (_, token) = gate.issue_order(report(2, Some(1), false)).expect("a new order may be given");
     assert_eq!(token, FencingToken::new(3), "tokens rise above every one seen");
 }
 
 #[test]
-fn a_paused_holders_order_is_too_low_when_it_wakes() {
-    let (mut sleeper, mut successor) = (WeightGate::closed(), WeightGate::closed());
-    for gate in [&mut sleeper, &mut successor] {
-        gate.aim(Some(target(1, &[b"base"])));
-        gate.verify(Digest::of(b"base"));
+fn delayed_order_has_lower_token() {
+    let (mut delayed, mut successor) = (WeightGate::closed(), WeightGate::closed());
+    for gate in [&mut delayed, &mut successor] {
+        gate.set_target(Some(target(1, &[b"base"])));
+        gate.mark_verified(Digest::of(b"base"));
     }
-    let (_, old) = sleeper.order(report(4, None, false)).expect("it is ready");
-    let (_, new) = successor.order(report(5, None, false)).expect("it is ready");
+    let (_, old) = delayed.issue_order(report(4, None, false)).expect("it is ready");
+    let (_, new) = successor.issue_order(report(5, None, false)).expect("it is ready");
     assert!(new > old, "an engine that checks refuses the sleeper's order");
 }
 
 #[test]
-fn the_old_set_serves_until_it_is_closed_and_a_lost_engine_serves_nothing() {
+fn old_set_serves_until_stopped_and_none_after_engine_loss() {
     let mut gate = WeightGate::closed();
-    gate.aim(Some(target(1, &[b"one"])));
-    gate.verify(Digest::of(b"one"));
-    gate.order(report(0, None, false));
-    gate.observe(report(1, Some(1), false));
-    gate.aim(Some(target(2, &[b"two"])));
+    gate.set_target(Some(target(1, &[b"one"])));
+    gate.mark_verified(Digest::of(b"one"));
+    gate.issue_order(report(0, None, false));
+    gate.handle_report(report(1, Some(1), false));
+    gate.set_target(Some(target(2, &[b"two"])));
     assert_eq!(gate.serving(), Some(SetKey(1)));
-    gate.verify(Digest::of(b"two"));
-    assert_eq!(gate.order(report(1, Some(1), false)), None, "requests may still run on the old");
-    gate.close();
-    assert!(gate.order(report(1, Some(1), false)).is_some());
-    gate.lose_engine();
+    gate.mark_verified(Digest::of(b"two"));
+    assert_eq!(
+        gate.issue_order(report(1, Some(1), false)),
+        None,
+        "requests may still run on the old"
+    );
+    gate.stop_serving();
+    assert!(gate.issue_order(report(1, Some(1), false)).is_some());
+    gate.handle_engine_loss();
     assert_eq!(gate.serving(), None);
 }
 
@@ -108,64 +112,64 @@
 proptest! {
     /// The loss of one box moves as few replicas as there are models after the one it ran.
     #[test]
-    fn placement_moves_few_replicas(gone in 0u32..20, first in 1u32..10, second in 1u32..8) {
+    fn placement_moves_few_replicas(removed in 0u32..20, first in 1u32..10, second in 1u32..8) {
         let plan = fleet(&[("one", first), ("two", second)]);
         let before = place(&plan, &boxes(0..20));
-        let after = place(&plan, &boxes((0..20).filter(|nth| *nth != gone)));
+        let after = place(&plan, &boxes((0..20).filter(|nth| *nth != removed)));
         let model = |placement: &headlatch_core::placement::Placement| -> BTreeMap<_, _> {
             placement.iter().map(|(id, one)| (id.clone(), one.model)).collect()
         };
         let (before, after) = (model(&before), model(&after));
         prop_assert_eq!(after.len() as u32, first + second);
-        let moved = after.iter().filter(|(id, at)| before.get(*id) != Some(*at)).count();
+        let moved = after.iter().filter(|(id, model)| before.get(*id) != Some(*model)).count();
         prop_assert!(moved <= 2, "{moved} replicas moved");
     }
 
     /// Replicas that see the others late never leave fewer serving than the file asks for.
     #[test]
-    fn changes_of_version_keep_enough_serving(
+    fn version_switches_keep_min_serving(
         replicas in 1u32..10,
         spare in 1u32..5,
         steps in prop::collection::vec((0u32..10, any::<bool>()), 1..200),
     ) {
-        let kept = replicas.saturating_sub(spare);
+        let min_serving = replicas.saturating_sub(spare);
         // What each replica does, and what everybody believes of it, which may be older.
-        let mut truth = vec![(false, true); replicas as usize];
-        let mut seen = truth.clone();
-        for (nth, news) in steps {
-            let at = (nth % replicas) as usize;
-            if news {
-                seen[at] = truth[at];
+        let mut actual = vec![(false, true); replicas as usize];
+        let mut observed = actual.clone();
+        for (nth, refresh) in steps {
+            let index = (nth % replicas) as usize;
+            if refresh {
+                observed[index] = actual[index];
                 continue;
             }
             let others: Vec<ReplicaView> = (0..replicas)
-                .filter(|rank| *rank as usize != at)
+                .filter(|rank| *rank as usize != index)
                 .map(|rank| {
-                    let (serves_wanted, serves) = seen[rank as usize];
+                    let (serves_wanted, serves) = observed[rank as usize];
                     ReplicaView { rank, serves_wanted, serves }
                 })
                 .collect();
-            truth[at] = match truth[at] {
-                (false, true) if may_change(at as u32, replicas, kept, &others) => (false, false),
+            actual[index] = match actual[index] {
+                (false, true) if may_switch(index as u32, replicas, min_serving, &others) => (false, false),
                 (false, false) => (true, true),
                 state => state,
             };
-            let serving = truth.iter().filter(|(_, serves)| *serves).count() as u32;
-            prop_assert!(serving >= kept, "{serving} serve of {kept}");
+            let serving = actual.iter().filter(|(_, serves)| *serves).count() as u32;
+            prop_assert!(serving >= min_serving, "{serving} serve of {min_serving}");
         }
     }
 
     /// Configurations in any order, repeated or broken, never take a node back.
     #[test]
-    fn a_configuration_never_reverts(offers in prop::collection::vec((0u64..9, any::<bool>()), 1..40)) {
+    fn configuration_revision_never_decreases(offers in prop::collection::vec((0u64..9, any::<bool>()), 1..40)) {
         let mut holder = ConfigHolder::default();
         let mut highest = 0;
         let mut seen = BTreeSet::new();
-        for (revision, good) in offers {
+        for (revision, valid) in offers {
             let object = FleetObject { apply_id: "a".to_owned(), fleet: "{}".to_owned() };
-            let text = if good { serde_json::to_string(&object).unwrap() } else { "{".to_owned() };
+            let text = if valid { serde_json::to_string(&object).unwrap() } else { "{".to_owned() };
             let outcome = holder.offer(ConfigRevision::new(revision), &text);
-            if good && revision > highest {
+            if valid && revision > highest {
                 prop_assert_eq!(outcome, OfferOutcome::Taken);
                 highest = revision;
             }
--- a/crates/daemon/src/agent/desk.rs
+++ b/crates/daemon/src/agent/desk.rs
@@ -4,7 +4,7 @@
 
 use headlatch_core::{
     gate::WeightGate,
-    keys::{KeyAnswer, KeyLedger},
+    keys::{IdempotencyKeys, KeyClaim},
     time::Moment,
 };
 use headlatch_types::{fleet::SetKey, settings::EndpointSettings};
@@ -25,7 +25,7 @@
     /// Whether the endpoint answers.
     pub healthy: bool,
     /// Keys of requests that may run once.
-    pub keys: KeyLedger,
+    pub keys: IdempotencyKeys,
 }
 
 /// Decides for each request whether it may run at this endpoint.
@@ -83,11 +83,11 @@
         }
         let key = (!request.once_key.is_empty()).then(|| request.once_key.clone());
         if let Some(key) = &key {
-            match state.keys.take(now, key) {
-                KeyAnswer::Fresh => {}
-                KeyAnswer::InProgress => return Err(RefusalCause::KeyInProgress),
-                KeyAnswer::Spent => return Err(RefusalCause::KeySpent),
-                KeyAnswer::Full => return Err(RefusalCause::Busy),
+            match state.keys.claim(now, key) {
+                KeyClaim::Fresh => {}
+                KeyClaim::InProgress => return Err(RefusalCause::KeyInProgress),
+                KeyClaim::Spent => return Err(RefusalCause::KeySpent),
+                KeyClaim::Full => return Err(RefusalCause::Busy),
             }
         }
         state.in_progress += 1;
@@ -126,7 +126,7 @@
         let mut state = self.desk.lock();
         state.in_progress = state.in_progress.saturating_sub(1);
         if let Some(key) = &self.key {
-            state.keys.spend(key);
+            state.keys.mark_spent(key);
         }
     }
 }
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -10,7 +10,7 @@
     hash::ranking,
     membership::{NodeKind, NodeRecord},
     placement::{EngineBox, PlacedReplica, Placement, place},
-    rollover::{ReplicaView, may_change},
+    rollover::{ReplicaView, may_switch},
     time::Moment,
 };
 use headlatch_http::StopSignal;
@@ -127,7 +127,7 @@
         let config = self.node.config();
         let table = self.node.table();
         let own = table.own().clone();
-        let others = table.living(now).cloned();
+        let others = table.alive_nodes(now).cloned();
         let is_engine = |record: &NodeRecord| {
             record.kind == NodeKind::Agent
                 && !record.leaving
@@ -152,7 +152,7 @@
         // A box that is to run nothing goes on serving what it has until it is given something
         // else: the others may not have taken over yet.
         if target.is_some() {
-            self.desk.lock().gate.aim(target);
+            self.desk.lock().gate.set_target(target);
         }
     }
 
@@ -168,7 +168,7 @@
             let Some(handle) = self.hub.get(&part.manifest) else { continue };
             handle.tell(DriverInput::Seats(seats));
             if handle.is_complete() {
-                self.desk.lock().gate.verify(part.manifest);
+                self.desk.lock().gate.mark_verified(part.manifest);
             }
         }
         let wanted = |digest: &Digest| parts.iter().any(|part| part.manifest == *digest);
@@ -301,7 +301,7 @@
                 self.state.report = Some(report);
                 let mut desk = self.desk.lock();
                 let before = desk.gate.serving();
-                desk.gate.observe(report);
+                desk.gate.handle_report(report);
                 desk.healthy = true;
                 let after = desk.gate.serving();
                 drop(desk);
@@ -315,7 +315,7 @@
                     log::error!("gate: closed, {error}");
                 }
                 let mut desk = self.desk.lock();
-                desk.gate.lose_engine();
+                desk.gate.handle_engine_loss();
                 desk.healthy = false;
             }
         }
@@ -327,7 +327,7 @@
         let turn = self.has_turn(now, goal, model);
         let order = {
             let mut desk = self.desk.lock();
-            if !matches!(desk.gate.step(), GateStep::Ready(_)) {
+            if !matches!(desk.gate.next_step(), GateStep::Ready(_)) {
                 return;
             }
             if desk.gate.serving().is_some() {
@@ -335,13 +335,13 @@
                     return;
                 }
                 log::info!("gate: closed to change to {}@{}", model.name, model.version);
-                desk.gate.close();
+                desk.gate.stop_serving();
                 self.publish_serving(None);
             }
             if desk.in_progress > 0 {
                 return;
             }
-            let order = desk.gate.order(report);
+            let order = desk.gate.issue_order(report);
             desk.names = model.caller_names();
             order
         };
@@ -352,7 +352,7 @@
             Ok(OrderOutcome::Taken) => {}
             Ok(OrderOutcome::Fenced) => {
                 log::warn!("gate: the engine has had a later order than token {token}");
-                self.desk.lock().gate.withdraw_order();
+                self.desk.lock().gate.cancel_order();
             }
             // Whether it came will show in the engine's report.
             Err(error) => log::warn!("gate: {error}"),
@@ -378,7 +378,7 @@
         let serving = |record: &NodeRecord| record.endpoint.as_ref().and_then(|one| one.serving);
         let table = self.node.table();
         let others: Vec<ReplicaView> = table
-            .living(now)
+            .alive_nodes(now)
             .filter(|record| record.domain == *domain)
             .filter_map(|record| {
                 let placed = goal.placement.get(&record.id)?;
@@ -392,7 +392,7 @@
             })
             .collect();
         let replicas = 1 + others.len() as u32;
-        may_change(own.rank, replicas, model.kept_in(domain).min(replicas - 1), &others)
+        may_switch(own.rank, replicas, model.kept_in(domain).min(replicas - 1), &others)
     }
 
     /// Lets others know at once what serves here.
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -69,7 +69,7 @@
 pub fn refusal(reason: RefusalReason) -> (ApiError, Option<Duration>) {
     let message = match reason {
         RefusalReason::QueueFull => "Too many requests wait already. Try again later.",
-        RefusalReason::WaitedTooLong => "No endpoint became free in time. Try again later.",
+        RefusalReason::QueueTimeout => "No endpoint became free in time. Try again later.",
     };
     let error = ApiError {
         status: StatusCode::TOO_MANY_REQUESTS,
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use headlatch_core::{
-    admission::{FairQueue, RunningLimit, ShareTerms},
+    admission::{ConcurrencyLimit, FairQueue, OrganisationQuota},
     config::FleetConfig,
 };
 use headlatch_http::{BodyError, StopSignal, read_body};
@@ -100,7 +100,7 @@
     ) -> Self {
         let wait = Duration::from_millis(limits.queue_ms);
         let queue = FairQueue::new(LEAST_RUNNING, limits.requests as usize, wait);
-        let gate = RequestGate::new(queue, RunningLimit::new(LEAST_RUNNING, LEAST_RUNNING));
+        let gate = RequestGate::new(queue, ConcurrencyLimit::new(LEAST_RUNNING, LEAST_RUNNING));
         let dispatcher =
             Arc::new(RequestDispatcher::new(node.clone(), directory.clone(), gate.clone()));
         Self { node, directory, dispatcher, gate, limits, last_request: Arc::default() }
@@ -286,9 +286,9 @@
     }
 
     async fn enter(&self, organisation: &OrganisationPlan) -> Result<EntryPermit, Refusal> {
-        let terms = ShareTerms {
+        let terms = OrganisationQuota {
             share: organisation.share,
-            most_in_progress: organisation.most_in_progress,
+            max_in_progress: organisation.most_in_progress,
         };
         let entered = self.gate.enter(self.node.now(), &organisation.name, terms).await;
         entered.map_err(|reason| {
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -94,7 +94,7 @@
         let now = self.node.now();
         let living: Vec<(BoxId, SocketAddr)> = {
             let table = self.node.table();
-            table.living(now).map(|record| (record.id.clone(), record.control)).collect()
+            table.alive_nodes(now).map(|record| (record.id.clone(), record.control)).collect()
         };
         self.picker().retain(|id| living.iter().any(|(other, _)| other == id));
         self.node.channels.retain(|address| living.iter().any(|(_, other)| other == address));
@@ -116,7 +116,7 @@
             };
             fits && state.healthy && !record.leaving
         };
-        table.living(now).filter(serves).filter_map(to_candidate).collect()
+        table.alive_nodes(now).filter(serves).filter_map(to_candidate).collect()
     }
 
     fn sets_of(&self, name: &ModelName) -> Vec<SetKey> {
@@ -129,8 +129,9 @@
         let now = self.node.now();
         let table = self.node.table();
         let slots = |record: &NodeRecord| record.endpoint.as_ref().map_or(0, |state| state.slots);
-        let total = table.living(now).filter(|record| !record.leaving).map(slots).sum();
-        let entries = table.living(now).filter(|record| record.kind == NodeKind::Entry).count();
+        let total = table.alive_nodes(now).filter(|record| !record.leaving).map(slots).sum();
+        let entries =
+            table.alive_nodes(now).filter(|record| record.kind == NodeKind::Entry).count();
         (total, 1 + entries as u32)
     }
 
--- a/crates/daemon/src/entry/dispatch.rs
+++ b/crates/daemon/src/entry/dispatch.rs
@@ -93,7 +93,7 @@
 
 impl Drop for AttemptTracker {
     fn drop(&mut self) {
-        self.directory.picker().end(&self.id);
+        self.directory.picker().finish_request(&self.id);
     }
 }
 
@@ -102,11 +102,11 @@
     pub async fn next(&mut self) -> Result<AnswerPart, AttemptFailure> {
         let part = self.stream.next().await;
         match &part {
-            Ok(AnswerPart::End) => self.tracker.directory.picker().succeed(&self.tracker.id),
+            Ok(AnswerPart::End) => self.tracker.directory.picker().record_success(&self.tracker.id),
             Ok(AnswerPart::Data(_)) => {}
             Err(_) => {
                 let now = self.tracker.node.now();
-                self.tracker.directory.picker().fail(now, &self.tracker.id);
+                self.tracker.directory.picker().record_failure(now, &self.tracker.id);
             }
         }
         part
@@ -136,7 +136,7 @@
     /// Tries endpoints until one begins to answer.
     pub async fn begin(&self, request: &DispatchRequest) -> Result<BegunAnswer, DispatchFailure> {
         let mut tries = TryLog::default();
-        self.budget().earn(self.node.now());
+        self.budget().deposit(self.node.now());
         loop {
             let failure = match self.try_once(request, &mut tries).await {
                 Ok(begun) => return Ok(begun),
@@ -152,7 +152,7 @@
         request: &DispatchRequest,
     ) -> Result<(Head, Bytes), DispatchFailure> {
         let mut tries = TryLog::default();
-        self.budget().earn(self.node.now());
+        self.budget().deposit(self.node.now());
         loop {
             let failure = match self.try_once(request, &mut tries).await {
                 Ok(begun) => match collect(begun).await {
@@ -200,7 +200,7 @@
             return false;
         }
         RetryPermit::after(failure.verdict(), request.repeatability).is_some()
-            && self.budget().spend(self.node.now())
+            && self.budget().try_withdraw(self.node.now())
     }
 
     async fn try_once(
@@ -223,7 +223,7 @@
             deadline_ms: request.deadline.since(now).as_millis() as u64,
             ..request.message.clone()
         };
-        self.directory.picker().begin(&id);
+        self.directory.picker().start_request(&id);
         let tracker =
             AttemptTracker { directory: self.directory.clone(), node: self.node.clone(), id };
         let started = attempt::begin(&self.node.channels, address, message).await;
@@ -259,7 +259,7 @@
             AttemptStart::Answer(stream) => {
                 self.gate.note_run();
                 if let Some(load) = stream.load {
-                    self.directory.picker().report(now, &tracker.id, load.in_progress);
+                    self.directory.picker().record_load(now, &tracker.id, load.in_progress);
                 }
                 return Ok(BegunAnswer { stream: *stream, tracker });
             }
@@ -268,13 +268,13 @@
                     self.gate.note_busy(now);
                 }
                 if let Some(load) = load {
-                    self.directory.picker().report(now, &tracker.id, load.in_progress);
+                    self.directory.picker().record_load(now, &tracker.id, load.in_progress);
                 }
                 self.node.metrics.count_refusal(cause.as_str_name());
                 read_refusal(cause)
             }
             AttemptStart::Failed(failure) => {
-                self.directory.picker().fail(now, &tracker.id);
+                self.directory.picker().record_failure(now, &tracker.id);
                 DispatchFailure::Failed(failure)
             }
         };
--- a/crates/daemon/src/entry/gatekeeper.rs
+++ b/crates/daemon/src/entry/gatekeeper.rs
@@ -6,21 +6,23 @@
 };
 
 use headlatch_core::{
-    admission::{Admission, FairQueue, RefusalReason, RunningLimit, ShareTerms, TicketNumber},
+    admission::{
+        Admission, ConcurrencyLimit, FairQueue, OrganisationQuota, RefusalReason, RequestNumber,
+    },
     time::Moment,
 };
 use headlatch_types::id::OrganisationName;
 use tokio::sync::oneshot;
 
 /// Share of an organisation that the fleet file no longer names.
-const NO_TERMS: ShareTerms = ShareTerms { share: 1, most_in_progress: None };
+const NO_TERMS: OrganisationQuota = OrganisationQuota { share: 1, max_in_progress: None };
 
 #[derive(Debug)]
 struct GateState {
     queue: FairQueue,
-    limit: RunningLimit,
-    terms: HashMap<OrganisationName, ShareTerms>,
-    waiting: HashMap<TicketNumber, oneshot::Sender<Result<(), RefusalReason>>>,
+    limit: ConcurrencyLimit,
+    terms: HashMap<OrganisationName, OrganisationQuota>,
+    waiting: HashMap<RequestNumber, oneshot::Sender<Result<(), RefusalReason>>>,
     last: u64,
 }
 
@@ -39,7 +41,7 @@
 
 impl RequestGate {
     /// A gate in front of `queue`, which lets as many requests run as `limit` says.
-    pub fn new(queue: FairQueue, limit: RunningLimit) -> Arc<Self> {
+    pub fn new(queue: FairQueue, limit: ConcurrencyLimit) -> Arc<Self> {
         let state =
             GateState { queue, limit, terms: HashMap::new(), waiting: HashMap::new(), last: 0 };
         Arc::new(Self { state: Mutex::new(state) })
@@ -57,21 +59,21 @@
     /// Changes the most requests that may run.
     pub fn set_most(&self, most_running: u32) {
         let mut state = self.lock();
-        state.limit.set_most(most_running);
+        state.limit.set_max(most_running);
         state.resize();
     }
 
     /// An endpoint took a request.
     pub fn note_run(&self) {
         let mut state = self.lock();
-        state.limit.note_run();
+        state.limit.record_accepted();
         state.resize();
     }
 
     /// An endpoint was full.
     pub fn note_busy(&self, now: Moment) {
         let mut state = self.lock();
-        state.limit.note_busy(now);
+        state.limit.record_busy(now);
         state.resize();
     }
 
@@ -79,7 +81,7 @@
     pub fn expire(&self, now: Moment) {
         let mut state = self.lock();
         for number in state.queue.expire(now) {
-            state.tell(number, Err(RefusalReason::WaitedTooLong));
+            state.tell(number, Err(RefusalReason::QueueTimeout));
         }
     }
 
@@ -88,14 +90,14 @@
         self: &Arc<Self>,
         now: Moment,
         organisation: &OrganisationName,
-        terms: ShareTerms,
+        terms: OrganisationQuota,
     ) -> Result<EntryPermit, RefusalReason> {
         let (number, told) = {
             let mut state = self.lock();
             state.last += 1;
-            let number = TicketNumber(state.last);
+            let number = RequestNumber(state.last);
             state.terms.insert(organisation.clone(), terms);
-            match state.queue.arrive(now, number, organisation, terms) {
+            match state.queue.admit(now, number, organisation, terms) {
                 Admission::Run => return Ok(self.permit(organisation)),
                 Admission::Refuse(reason) => return Err(reason),
                 Admission::Wait => {}
@@ -108,7 +110,7 @@
         let answer = told.await;
         place.settled = true;
         drop(place);
-        answer.unwrap_or(Err(RefusalReason::WaitedTooLong)).map(|()| self.permit(organisation))
+        answer.unwrap_or(Err(RefusalReason::QueueTimeout)).map(|()| self.permit(organisation))
     }
 
     fn permit(self: &Arc<Self>, organisation: &OrganisationName) -> EntryPermit {
@@ -124,13 +126,13 @@
 
     fn release(&mut self) {
         let terms = &self.terms;
-        let released = self.queue.release(|name| terms.get(name).copied().unwrap_or(NO_TERMS));
+        let released = self.queue.dequeue(|name| terms.get(name).copied().unwrap_or(NO_TERMS));
         for number in released {
             self.tell(number, Ok(()));
         }
     }
 
-    fn tell(&mut self, number: TicketNumber, answer: Result<(), RefusalReason>) {
+    fn tell(&mut self, number: RequestNumber, answer: Result<(), RefusalReason>) {
         if let Some(sender) = self.waiting.remove(&number) {
             // A caller that has gone away gives its place back by itself.
             let _ = sender.send(answer);
@@ -141,7 +143,7 @@
 impl Drop for EntryPermit {
     fn drop(&mut self) {
         let mut state = self.gate.lock();
-        state.queue.end(&self.organisation);
+        state.queue.finish(&self.organisation);
         state.release();
     }
 }
@@ -150,7 +152,7 @@
 struct WaitingPlace<'a> {
     gate: &'a RequestGate,
     organisation: &'a OrganisationName,
-    number: TicketNumber,
+    number: RequestNumber,
     settled: bool,
 }
 
@@ -161,10 +163,10 @@
         }
         let mut state = self.gate.lock();
         if state.waiting.remove(&self.number).is_some() {
-            state.queue.leave(self.organisation, self.number);
+            state.queue.cancel(self.organisation, self.number);
         } else {
             // It was let in just as its caller went away.
-            state.queue.end(self.organisation);
+            state.queue.finish(self.organisation);
             state.release();
         }
     }
--- a/crates/daemon/src/entry/status.rs
+++ b/crates/daemon/src/entry/status.rs
@@ -83,7 +83,7 @@
     fn is_writer(&self, now: Moment) -> bool {
         let table = self.node.table();
         let own = table.own();
-        let near = table.living(now).filter(|record| {
+        let near = table.alive_nodes(now).filter(|record| {
             record.kind == NodeKind::Entry && record.domain == own.domain && !record.leaving
         });
         let keys = near.map(|record| record.id.key()).chain([own.id.key()]);
@@ -95,8 +95,8 @@
         let now = self.node.now();
         let table = self.node.table();
         let own = table.own();
-        let near = table.known().filter(|known| known.record.domain == own.domain);
-        let others = near.map(|known| node_status(&known.record, now.since(known.heard)));
+        let near = table.known_nodes().filter(|known| known.record.domain == own.domain);
+        let others = near.map(|known| node_status(&known.record, now.since(known.last_alive)));
         let mut nodes: Vec<NodeStatus> = others.chain([node_status(own, Duration::ZERO)]).collect();
         nodes.sort_by(|a, b| a.id.cmp(&b.id));
         DomainStatus {
--- a/crates/daemon/src/node/codec.rs
+++ b/crates/daemon/src/node/codec.rs
@@ -2,7 +2,7 @@
 
 use headlatch_core::{
     burst::{ChunkSet, DrawPool, DrawTicket, SwarmNote},
-    membership::{EndpointState, GossipPacket, NodeBeat, NodeKind, NodeRecord, ShortKey},
+    membership::{EndpointState, GossipPacket, Heartbeat, NodeKind, NodeRecord, ShortKey},
 };
 use headlatch_types::{ChunkIndex, RunVerdict, fleet::SetKey, quantity::ConfigRevision};
 use headlatch_wire as wire;
@@ -106,7 +106,7 @@
     }
 }
 
-fn encode_figures(beat: &NodeBeat) -> u32 {
+fn encode_figures(beat: &Heartbeat) -> u32 {
     u32::from(beat.in_progress) | u32::from(beat.fetched_permille) << 16
 }
 
@@ -115,7 +115,7 @@
     let keyed = message.beat_keys.into_iter().zip(message.beats);
     let told = message.versions.into_iter().zip(message.figures).zip(message.revisions);
     type Told = ((u32, u32), u32);
-    let beat = |((key, beat), ((version, figures), revision)): ((u32, u32), Told)| NodeBeat {
+    let beat = |((key, beat), ((version, figures), revision)): ((u32, u32), Told)| Heartbeat {
         key: ShortKey(key),
         beat,
         version,
--- a/crates/daemon/src/node/gossip.rs
+++ b/crates/daemon/src/node/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use headlatch_core::membership::{GOSSIP_PAUSE, GossipPacket, RUMOUR_FANOUT};
+use headlatch_core::membership::{GOSSIP_INTERVAL, GossipPacket, URGENT_FANOUT};
 use headlatch_http::StopSignal;
 use headlatch_wire::{self as wire, ReadConfigRequest};
 use prost::Message;
@@ -18,7 +18,7 @@
 /// Runs gossip on `socket` until the stop.
 pub async fn run(node: Arc<NodeContext>, socket: UdpSocket, mut signal: StopSignal) {
     let mut rng = SmallRng::seed_from_u64(node.settings.box_id.key());
-    let mut ticks = node.timer.subscribe(GOSSIP_PAUSE);
+    let mut ticks = node.timer.subscribe(GOSSIP_INTERVAL);
     let mut buffer = vec![0; MOST_DATAGRAM];
     loop {
         tokio::select! {
@@ -33,7 +33,7 @@
                 count(&node);
             }
             () = node.rumour.notified() => {
-                send(&node, &socket, &mut rng, RUMOUR_FANOUT).await;
+                send(&node, &socket, &mut rng, URGENT_FANOUT).await;
             }
             () = signal.stopped() => return,
         }
@@ -44,7 +44,7 @@
     for _ in 0..packets {
         let (target, packet) = {
             let mut table = node.table();
-            (table.target(node.now(), rng), table.packet(unix_time().as_secs() as u32))
+            (table.choose_target(node.now(), rng), table.next_packet(unix_time().as_secs() as u32))
         };
         let Some(target) = target else { return };
         send_packet(node, socket, target, &packet).await;
@@ -73,16 +73,16 @@
     let packet = codec::decode_packet(message);
     let (outcome, mut answers) = {
         let mut table = node.table();
-        let answers = table.answers(&packet);
+        let answers = table.replies(&packet);
         (table.merge(node.now(), packet), answers)
     };
-    if !outcome.unknown.is_empty() {
-        answers.push(node.table().ask(outcome.unknown));
+    if !outcome.missing_records.is_empty() {
+        answers.push(node.table().request_records(outcome.missing_records));
     }
     for answer in answers {
         send_packet(node, socket, from, &answer).await;
     }
-    if let Some((_, address)) = outcome.newest {
+    if let Some((_, address)) = outcome.newest_config {
         tokio::spawn(fetch_config(node.clone(), address));
     }
     if outcome.urgent {
@@ -108,7 +108,7 @@
 
 fn count(node: &NodeContext) {
     let table = node.table();
-    let living = table.living(node.now()).count();
+    let living = table.alive_nodes(node.now()).count();
     node.metrics.set_nodes("living", living);
-    node.metrics.set_nodes("known", table.known().count());
+    node.metrics.set_nodes("known", table.known_nodes().count());
 }
--- a/crates/daemon/src/node/sync.rs
+++ b/crates/daemon/src/node/sync.rs
@@ -70,7 +70,8 @@
     let now = node.now();
     let table = node.table();
     let own = table.own();
-    let near = table.living(now).filter(|record| record.domain == own.domain && !record.leaving);
+    let near =
+        table.alive_nodes(now).filter(|record| record.domain == own.domain && !record.leaving);
     let near: Vec<_> = near.chain([own]).collect();
     let entries = near.iter().any(|record| record.kind == NodeKind::Entry);
     if entries && own.kind == NodeKind::Agent {
@@ -84,11 +85,11 @@
 async fn follow_members(node: &NodeContext) {
     let mut first = true;
     loop {
-        if first || is_watcher(node) || node.table().known().next().is_none() {
+        if first || is_watcher(node) || node.table().known_nodes().next().is_none() {
             match node.store.members().await {
                 Ok(members) => {
                     first = false;
-                    node.table().seed(members.iter().map(|member| member.control).collect());
+                    node.table().set_seeds(members.iter().map(|member| member.control).collect());
                 }
                 Err(error) => log::debug!("members: {error}"),
             }
