--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who may begin a request at an entry: fair shares, bounded queues, early refusal.
+//! Admission control at an entry: weighted fair queueing, bounded queues and early rejection.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,17 +9,18 @@
 
 use crate::time::Moment;
 
-/// Least time between two cuts of a limit: refusals come in crowds that tell of one shortage.
+/// Minimum time between two decreases of a limit, since one shortage of capacity causes many
+/// refusals within a short time.
 const DECREASE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What is left of a limit after a cut.
+/// Factor applied to the limit on each decrease.
 const DECREASE_FACTOR: f64 = 0.97;
 
-/// How many requests an entry lets run, learnt from its endpoints' refusals.
+/// Adaptive limit on the requests that an entry runs concurrently.
 ///
-/// It rises by one for every round of requests that run and falls by a few hundredths when endpoints are
-/// full, so that under overload requests wait in the fair queue instead of being refused at
-/// random by whichever endpoint they happen to meet.
+/// Additive increase, multiplicative decrease: the limit rises by one for each full window of
+/// accepted requests and falls by 3 % when an endpoint is full. Under overload,
+/// requests therefore wait in the fair queue instead of being refused by an arbitrary endpoint.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -29,24 +30,24 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit between `least` and `most`, which begins at `most`.
+    /// Creates a limit between `min` and `max` that starts at `max`.
     pub fn new(min: u32, max: u32) -> Self {
         let (min, max) = (f64::from(min), f64::from(max.max(min)));
         Self { limit: max, min, max, decreased_at: Moment::ZERO }
     }
 
-    /// Changes the most it may rise to.
+    /// Changes the upper bound and lowers the limit to it if necessary.
     pub fn set_max(&mut self, max: u32) {
         self.max = f64::from(max).max(self.min);
         self.limit = self.limit.min(self.max);
     }
 
-    /// An endpoint took a request.
+    /// Records that an endpoint accepted a request.
     pub fn record_accepted(&mut self) {
         self.limit = (self.limit + 1.0 / self.limit).min(self.max);
     }
 
-    /// An endpoint was full.
+    /// Records that an endpoint refused a request because it was full.
     pub fn record_busy(&mut self, now: Moment) {
         if now.since(self.decreased_at) >= DECREASE_INTERVAL {
             self.decreased_at = now;
@@ -54,42 +55,42 @@
         }
     }
 
-    /// The limit now.
+    /// Returns the current limit, rounded down.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 }
 
-/// Number of a request that waits or runs, given by its entry.
+/// Identifier of a queued or running request, assigned by its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
 
-/// What an organisation may use.
+/// Share and limit of an organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrganisationQuota {
-    /// Its part of the capacity, relative to the others.
+    /// Weight of the organisation, relative to the others.
     pub share: u32,
-    /// Most requests in progress.
+    /// Maximum number of running requests; unlimited if `None`.
     pub max_in_progress: Option<u32>,
 }
 
-/// Why a request was refused; it certainly did not run.
+/// Why a request was rejected. A rejected request has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Too many requests wait already.
+    /// The queue is full.
     QueueFull,
-    /// It waited too long.
+    /// The request waited longer than the maximum queueing time.
     QueueTimeout,
 }
 
-/// What became of an arrival.
+/// Result of [`FairQueue::admit`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run now.
+    /// The request may run now.
     Run,
-    /// It waits; [`FairQueue::dequeue`] or [`FairQueue::expire`] will name it.
+    /// The request is queued; [`FairQueue::dequeue`] or [`FairQueue::expire`] returns it later.
     Wait,
-    /// It is refused.
+    /// The request is rejected.
     Refuse(RefusalReason),
 }
 
@@ -103,19 +104,19 @@
 struct OrganisationQueue {
     running: u32,
     waiting: VecDeque<QueuedRequest>,
-    /// Virtual time at which its next request is due.
+    /// Virtual start time of the next request.
     start_tag: u64,
 }
 
-/// Virtual time that one request of a share of 1 takes.
+/// Virtual time by which one request advances an organisation with a share of 1.
 const VIRTUAL_COST: u64 = 1 << 20;
 
-/// Lets requests run up to a limit and shares the limit between organisations.
+/// Limits concurrent requests and divides the limit between organisations by their shares.
 ///
-/// It is start-time fair queueing: each organisation has a clock that a request moves on by an
-/// amount inverse to its share, and the one whose clock is furthest behind goes next. Each entry
-/// does so for itself; the platform's balancer spreads every organisation over all entries, so
-/// that shares hold overall without a counter between them.
+/// Implements start-time fair queueing: each request advances the virtual time of its organisation
+/// by an amount inversely proportional to the share, and the organisation with the smallest virtual
+/// time is served next. Each entry schedules independently. The platform's load balancer spreads
+/// every organisation over all entries, so shares hold overall without a shared counter.
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     queues: BTreeMap<OrganisationName, OrganisationQueue>,
@@ -128,7 +129,8 @@
 }
 
 impl FairQueue {
-    /// A queue that lets `most_running` requests run and `most_waiting` wait for `longest_wait`.
+    /// Creates a queue for `max_running` running requests and `max_waiting` queued ones, each of
+    /// which waits for at most `max_wait`.
     pub fn new(max_running: u32, max_waiting: usize, max_wait: Duration) -> Self {
         Self {
             queues: BTreeMap::new(),
@@ -141,17 +143,17 @@
         }
     }
 
-    /// Changes how many requests may run.
+    /// Changes the maximum number of running requests.
     pub fn resize(&mut self, max_running: u32) {
         self.max_running = max_running;
     }
 
-    /// Requests that run and that wait.
+    /// Returns the numbers of running and queued requests.
     pub fn counts(&self) -> (u32, usize) {
         (self.running, self.waiting)
     }
 
-    /// A request has come.
+    /// Handles a new request.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -167,7 +169,8 @@
             self.running += 1;
             return Admission::Run;
         }
-        // A full queue is shared as well: whoever has more than its part waiting is refused.
+        // A full queue is divided equally: an organisation at or above its part of the queue is
+        // rejected. Others may still enqueue up to twice the maximum.
         let queue_share = self.max_waiting / self.queues.len().max(1);
         let queue = self.queues.entry(organisation.clone()).or_default();
         if self.waiting >= self.max_waiting && queue.waiting.len() >= queue_share.max(1)
@@ -180,7 +183,7 @@
         Admission::Wait
     }
 
-    /// A request has ended.
+    /// Records that a running request has finished.
     pub fn finish(&mut self, organisation: &OrganisationName) {
         self.running = self.running.saturating_sub(1);
         if let Some(queue) = self.queues.get_mut(organisation) {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// A request that waits has been given up by its caller.
+    /// Removes a queued request whose caller has gone away.
     pub fn cancel(&mut self, organisation: &OrganisationName, number: RequestNumber) {
         if let Some(queue) = self.queues.get_mut(organisation) {
             let before = queue.waiting.len();
@@ -197,7 +200,7 @@
         }
     }
 
-    /// The requests that may begin now.
+    /// Dequeues the requests that may run now.
     pub fn dequeue(
         &mut self,
         quota: impl Fn(&OrganisationName) -> OrganisationQuota,
@@ -221,7 +224,7 @@
         dequeued
     }
 
-    /// The requests that have waited too long.
+    /// Removes and returns the requests whose queueing deadline has passed.
     pub fn expire(&mut self, now: Moment) -> Vec<RequestNumber> {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
--- a/crates/core/src/apply.rs
+++ b/crates/core/src/apply.rs
@@ -1,77 +1,80 @@
-//! Applying a fleet file: one winner among racing operators, whatever answers are lost.
+//! Applies a fleet file with optimistic concurrency control.
+//!
+//! Of several concurrent applies one wins, even if responses of the platform are lost.
 
 use headlatch_types::{id::ApplyId, quantity::ConfigRevision};
 
-/// Calls to the platform that one apply makes before it gives up.
+/// Maximum number of platform calls per apply.
 const MAX_CALLS: u32 = 12;
 
-/// What the apply wants done next.
+/// Next step of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyStep {
     /// Read the fleet object.
     Read,
-    /// Write it, if it still has this revision; 0 means that there is none.
+    /// Write the fleet object if it still has this revision; 0 means that no object exists.
     Write(ConfigRevision),
-    /// Nothing more.
+    /// The apply has finished.
     Done(ApplyOutcome),
 }
 
-/// What became of an apply.
+/// Result of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It took effect with this revision.
+    /// The file is in force under this revision.
     Applied(ConfigRevision),
-    /// It did not take effect: another file is in force.
+    /// The file was not applied: another revision is in force.
     Conflict {
         /// The revision that was expected.
         expected: ConfigRevision,
         /// The revision in force.
         found: ConfigRevision,
     },
-    /// Nobody can tell whether it took effect; the same apply may be run again with its id.
+    /// It is not known whether the file was applied. The apply can be repeated with the same id.
     Unknown,
-    /// It certainly did not take effect: the platform never took the write.
+    /// The file was not applied: the platform accepted no write.
     NotApplied,
 }
 
-/// What came of a step.
+/// Result of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyEvent {
-    /// The object was read: its revision and the apply that wrote it, if there is one.
+    /// The object was read: its revision and the apply that wrote it, or `None` if it does not
+    /// exist.
     Read(Option<(ConfigRevision, ApplyId)>),
-    /// The write took effect.
+    /// The write succeeded.
     Written(ConfigRevision),
-    /// The write did not take effect: the revision was another.
+    /// The write was rejected because the revision differed.
     WriteConflict,
-    /// The write may have taken effect.
+    /// It is not known whether the write succeeded.
     WriteUnknown,
-    /// The call did not reach the platform.
+    /// The call failed without effect.
     Failed,
 }
 
-/// One apply.
+/// State machine of one apply.
 #[derive(Debug, Clone)]
 pub struct FleetApply {
     id: ApplyId,
-    /// The revision the operator has seen; none to take over whatever is read first.
+    /// Revision that the operator based the file on; if `None`, the revision read first.
     expected: Option<ConfigRevision>,
     calls: u32,
-    /// Whether some write may have taken effect.
+    /// Whether the result of an earlier write is unknown.
     write_unknown: bool,
 }
 
 impl FleetApply {
-    /// An apply with its id, on top of `expected` if that is given.
+    /// Creates an apply with an id, based on revision `expected` if given.
     pub fn new(id: ApplyId, expected: Option<ConfigRevision>) -> Self {
         Self { id, expected, calls: 0, write_unknown: false }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self) -> ApplyStep {
         self.next_call(ApplyStep::Read)
     }
 
-    /// The step after `event`.
+    /// Returns the step that follows `event`.
     pub fn handle(&mut self, event: ApplyEvent) -> ApplyStep {
         match event {
             ApplyEvent::Read(found) => self.decide(found),
@@ -95,11 +98,11 @@
         }
         let expected = *self.expected.get_or_insert(revision);
         if revision == expected {
-            // Whatever was written before did not take effect, or the revision would have risen.
+            // An earlier write cannot have succeeded, since it would have raised the revision.
             return self.next_call(ApplyStep::Write(expected));
         }
         if self.write_unknown {
-            // Ours may have taken effect and have been replaced since.
+            // The earlier write may have succeeded and been replaced since.
             return ApplyStep::Done(ApplyOutcome::Unknown);
         }
         ApplyStep::Done(ApplyOutcome::Conflict { expected, found: revision })
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,63 +1,63 @@
-//! The configuration in force on a node, which never goes back.
+//! Configuration in force on a node. Its revision never decreases.
 
 use std::sync::Arc;
 
 use headlatch_types::{FleetPlan, InputError, quantity::ConfigRevision, reading::from_json};
 use serde::{Deserialize, Serialize};
 
-/// Key of the fleet object in the platform.
+/// Key of the fleet object in the platform store.
 pub const FLEET_KEY: &str = "fleet";
 
-/// The fleet object: a fleet file and the id of the attempt that wrote it.
+/// Fleet object: a fleet file and the id of the apply that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetObject {
-    /// Id of the attempt, by which its giver knows it again when the answer was lost.
+    /// Id of the apply, by which an operator recognises its own write after a lost response.
     pub apply_id: String,
-    /// The fleet file, as given.
+    /// Text of the fleet file.
     pub fleet: String,
 }
 
-/// What became of an offered configuration.
+/// Result of [`ConfigHolder::offer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now.
+    /// The configuration is now in force.
     Taken,
-    /// It is not newer than the one in force.
+    /// The configuration is not newer than the one in force.
     Stale,
-    /// It cannot be read; the one in force stays.
+    /// The configuration is invalid; the one in force is kept.
     Unreadable(InputError),
 }
 
-/// One configuration.
+/// Parsed configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// Its revision.
+    /// Revision of the fleet object.
     pub revision: ConfigRevision,
-    /// The fleet object's text.
+    /// JSON text of the fleet object.
     pub text: String,
-    /// The checked plan.
+    /// Validated plan.
     pub plan: FleetPlan,
 }
 
-/// Keeps the highest configuration seen.
+/// Holds the valid configuration with the highest revision seen.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigHolder {
     current: Arc<FleetConfig>,
 }
 
 impl ConfigHolder {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn current(&self) -> Arc<FleetConfig> {
         self.current.clone()
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> ConfigRevision {
         self.current.revision
     }
 
-    /// Takes over a configuration from the platform or a peer, if it is newer and readable.
+    /// Adopts a configuration from the platform or a peer if it is newer and valid.
     pub fn offer(&mut self, revision: ConfigRevision, text: &str) -> OfferOutcome {
         if revision <= self.current.revision {
             return OfferOutcome::Stale;
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,45 +1,48 @@
-//! The gate of one engine: nothing is served unless the whole set is verified, loaded by a
-//! fenced order and confirmed by the engine.
+//! Serving gate of one engine.
+//!
+//! An engine serves a set of weights only if every part is verified, the set was loaded by an order
+//! with a fencing token, and the engine has confirmed that order.
 
 use std::collections::BTreeSet;
 
 use headlatch_types::{Digest, fleet::SetKey, quantity::FencingToken};
 
-/// A set of weights that a box is to serve.
+/// Set of weights that a box is assigned to serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetSet {
-    /// Its key.
+    /// Key of the set.
     pub key: SetKey,
-    /// Manifests of all its parts.
+    /// Manifest digests of all parts.
     pub parts: BTreeSet<Digest>,
 }
 
-/// An order that has been given and not been confirmed.
+/// Order to load a set, identified by its fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LoadOrder {
     set: SetKey,
     token: FencingToken,
 }
 
-/// What an engine says of itself.
+/// State reported by an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Highest token of an order that it took.
+    /// Highest token among the orders that the engine accepted.
     pub token: FencingToken,
-    /// The set that is loaded, if one is.
+    /// Set that is loaded, if any.
     pub loaded: Option<SetKey>,
     /// Whether a load is in progress.
     pub loading: bool,
 }
 
-/// What the gate asks for next.
+/// Next step of a gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateStep {
-    /// Nothing to do but wait.
+    /// Wait for parts, a confirmation or a new target.
     Wait,
-    /// Every part is verified: stop serving the old set once its turn comes, then order.
+    /// Every part is verified: stop serving the old set when the rollover allows it, then issue the
+    /// load order.
     Ready(SetKey),
-    /// The engine serves what is wanted.
+    /// The engine serves the target.
     Serving(SetKey),
 }
 
@@ -49,18 +52,18 @@
     target: Option<TargetSet>,
     verified: BTreeSet<Digest>,
     pending_order: Option<LoadOrder>,
-    /// The set that serves, with the token of the order that loaded it.
+    /// Confirmed order whose set is being served.
     serving: Option<LoadOrder>,
     highest_token: FencingToken,
 }
 
 impl WeightGate {
-    /// A gate that lets nothing through.
+    /// Creates a gate that serves nothing.
     pub fn closed() -> Self {
         Self::default()
     }
 
-    /// Sets what is to be served; what serves now goes on until its turn to change comes.
+    /// Sets the target. The current set continues to be served until [`Self::stop_serving`].
     pub fn set_target(&mut self, target: Option<TargetSet>) {
         if self.target != target {
             self.target = target;
@@ -68,27 +71,27 @@
         }
     }
 
-    /// What is to be served.
+    /// Returns the target.
     pub fn target(&self) -> Option<&TargetSet> {
         self.target.as_ref()
     }
 
-    /// Every chunk of a manifest is here and verified.
+    /// Records that every chunk of a manifest is present and verified.
     pub fn mark_verified(&mut self, manifest: Digest) {
         self.verified.insert(manifest);
     }
 
-    /// Some chunk of a manifest is no longer here.
+    /// Records that a chunk of a manifest is no longer present.
     pub fn clear_verified(&mut self, manifest: Digest) {
         self.verified.remove(&manifest);
     }
 
-    /// The set that requests may be run against, if any.
+    /// Returns the set that requests may run against, if any.
     pub fn serving(&self) -> Option<SetKey> {
         self.serving.map(|order| order.set)
     }
 
-    /// What is due next.
+    /// Returns the next step.
     pub fn next_step(&self) -> GateStep {
         let Some(target) = &self.target else { return GateStep::Wait };
         if self.serving() == Some(target.key) {
@@ -102,15 +105,16 @@
         }
     }
 
-    /// Takes the old set out of service; requests in progress may still end.
+    /// Takes the current set out of service. Requests in progress may still finish.
     pub fn stop_serving(&mut self) {
         self.serving = None;
     }
 
-    /// Makes the order for the wanted set, if it is whole and nothing serves.
+    /// Issues the load order for the target if it is fully verified and nothing is being served.
     ///
-    /// The token is one more than any that this agent or the engine has seen. An order of another
-    /// giver in the meantime makes it too low, and an engine that checks refuses it.
+    /// The token is one higher than any that this agent or the engine has seen. If another agent
+    /// issues an order in the meantime, this token is too low and an engine that checks tokens
+    /// rejects it.
     pub fn issue_order(&mut self, report: EngineReport) -> Option<(SetKey, FencingToken)> {
         let GateStep::Ready(set) = self.next_step() else { return None };
         if self.serving.is_some() {
@@ -123,13 +127,14 @@
         Some((set, token))
     }
 
-    /// The engine refused the order, or it may not have come: a new one may be made.
+    /// Discards the pending order after the engine rejected it or may not have received it, so that
+    /// a new one can be issued.
     pub fn cancel_order(&mut self) {
         self.pending_order = None;
     }
 
-    /// Takes in what the engine says. The gate opens if the engine confirms the very order that
-    /// was given, and closes as soon as the engine names another token or set.
+    /// Handles a report of the engine. Serving starts when the engine confirms the pending order,
+    /// and stops as soon as the engine reports another token or set.
     pub fn handle_report(&mut self, report: EngineReport) {
         self.highest_token = self.highest_token.max(report.token);
         let confirms = |order: &LoadOrder| {
@@ -147,7 +152,7 @@
         }
     }
 
-    /// The engine does not answer: nothing is known, so nothing is served.
+    /// Stops serving because the engine does not answer and its state is unknown.
     pub fn handle_engine_loss(&mut self) {
         self.serving = None;
         self.pending_order = None;
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,6 +1,6 @@
-//! Rendezvous hashing: every box ranks the same candidates in the same order by itself.
+//! Rendezvous hashing: every box computes the same ranking of candidates without coordination.
 
-/// Mixes two keys into a score that looks random and is the same everywhere.
+/// Mixes two keys into a pseudorandom score that is the same on every box.
 ///
 /// The mixing steps are those of SplitMix64 (Steele, Lea and Flood, 2014).
 pub fn score(subject: u64, candidate: u64) -> u64 {
@@ -10,12 +10,12 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The candidate with the highest score for `subject`.
+/// Returns the candidate with the highest score for `subject`.
 pub fn winner(subject: u64, candidates: impl Iterator<Item = u64>) -> Option<u64> {
     candidates.max_by_key(|candidate| (score(subject, *candidate), *candidate))
 }
 
-/// The candidates from the highest score for `subject` to the lowest.
+/// Returns the candidates sorted by descending score for `subject`.
 pub fn ranking(subject: u64, candidates: impl Iterator<Item = u64>) -> Vec<u64> {
     let mut ranked: Vec<u64> = candidates.collect();
     ranked.sort_by_key(|candidate| std::cmp::Reverse((score(subject, *candidate), *candidate)));
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,36 +1,37 @@
-//! Keys of requests that may run once: which have been seen here.
+//! Idempotency keys: ensure that a request with a key runs at most once at this endpoint.
 
 use std::{collections::HashMap, collections::VecDeque, time::Duration};
 
 use crate::time::Moment;
 
-/// How long a spent key is remembered.
+/// How long a used key is kept.
 pub const KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// Most keys remembered; past it new ones are refused rather than old ones forgotten.
+/// Maximum number of keys. Beyond it new keys are rejected, since dropping an old key would allow
+/// its request to run twice.
 pub const MAX_KEYS: usize = 100_000;
 
-/// What a key's request has come to.
+/// State of the request that claimed a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum KeyState {
     InProgress,
     Spent,
 }
 
-/// Whether a request with a key may run now.
+/// Result of [`IdempotencyKeys::claim`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyClaim {
-    /// The key is new; it is now in progress.
+    /// The key is new and now marked as in progress; the request may run.
     Fresh,
-    /// A request with it is in progress.
+    /// A request with the key is in progress.
     InProgress,
-    /// A request with it has run, or may have.
+    /// A request with the key has run or may have run.
     Spent,
-    /// Too many keys are remembered to take another.
+    /// The key store is full.
     Full,
 }
 
-/// The keys that this endpoint's agent has seen.
+/// Keys that this endpoint's agent has seen.
 #[derive(Debug, Clone, Default)]
 pub struct IdempotencyKeys {
     keys: HashMap<String, KeyState>,
@@ -38,7 +39,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Takes a key for a request that is about to run.
+    /// Claims a key for a request that is about to run.
     pub fn claim(&mut self, now: Moment, key: &str) -> KeyClaim {
         self.expire(now);
         match self.keys.get(key) {
@@ -54,19 +55,19 @@
         KeyClaim::Fresh
     }
 
-    /// The request with `key` has ended, or may have run.
+    /// Records that the request with `key` has run or may have run.
     pub fn mark_spent(&mut self, key: &str) {
         if let Some(state) = self.keys.get_mut(key) {
             *state = KeyState::Spent;
         }
     }
 
-    /// The request with `key` certainly did not run: the key may be used again.
+    /// Releases a key whose request did not run, so that it can be used again.
     pub fn release(&mut self, key: &str) {
         self.keys.remove(key);
     }
 
-    /// Keys remembered.
+    /// Returns the number of stored keys.
     pub fn count(&self) -> usize {
         self.keys.len()
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decision logic of headlatch, without I/O, clock or threads.
 //!
-//! Every part takes a typed event and the time and returns typed actions. The same code runs
-//! under the daemons, the benches, the golden sessions and the fault matrices.
+//! Each module takes typed events and the current time and returns typed actions, so that the same
+//! code runs in the daemons, the benchmarks, the golden session test and the fault tests.
 
 pub mod admission;
 pub mod apply;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others, from their own words passed on by gossip.
+//! Cluster membership: records that nodes publish about themselves, spread by gossip.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,145 +15,148 @@
 
 use crate::time::Moment;
 
-/// A node of the own domain that has not been heard of for this long gets no new work.
+/// Time without a heartbeat after which a node of the same failure domain receives no new work.
 ///
-/// News of a beat takes a few packets to come around; whoever sends requests notices sooner, by
-/// their failure.
+/// A heartbeat takes a few packets to reach every node. Nodes that send requests detect a failed
+/// node sooner, because the requests fail.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The same for nodes of other domains, whose beats come in more seldom.
+/// Like [`SUSPECT_TIMEOUT`], for nodes of other failure domains, whose heartbeats arrive less
+/// often.
 pub const REMOTE_SUSPECT_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// A node that has not been heard of for this long is forgotten.
+/// Time without a heartbeat after which a node is removed from the table.
 pub const EXPIRY_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How often a node sends a packet.
+/// Interval between the gossip packets of a node.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Full records in one packet, this node's own among them.
+/// Maximum number of full records per packet, including the sender's own.
 pub const MAX_PACKET_RECORDS: usize = 6;
 
-/// Beats in one packet.
+/// Maximum number of heartbeats per packet.
 pub const MAX_PACKET_HEARTBEATS: usize = 50;
 
-/// Records asked for in one packet.
+/// Maximum number of records requested per packet.
 pub const MAX_PACKET_REQUESTS: usize = 12;
 
-/// Packets in which news is passed on.
+/// Number of packets in which a node forwards an updated record.
 const UPDATE_TRANSMISSIONS: u32 = 4;
 
-/// Packets sent at once when this node has news of its own, or passes urgent news on.
+/// Number of packets sent immediately after a change of the own record or an urgent update.
 pub const URGENT_FANOUT: usize = 3;
 
-/// Least time between two times that news of others is passed on at once. Without it one change
-/// at every node, as by a new version, would make packets by the square of their number.
+/// Minimum time between two immediate forwards of urgent updates. Without it, a change on every
+/// node, such as a new version, would cause a number of packets quadratic in the number of nodes.
 const URGENT_FORWARD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node is.
+/// Role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeKind {
-    /// An entry.
+    /// Entry that accepts requests.
     Entry,
-    /// An agent on an endpoint box.
+    /// Agent on the box of an endpoint.
     Agent,
 }
 
-/// What an agent says of its endpoint.
+/// State of an endpoint, published by its agent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointState {
-    /// The plain service it serves; none for an engine.
+    /// Name of the service; `None` for a model engine.
     pub service: Option<ServiceName>,
-    /// The set that serves here.
+    /// Set of weights that is being served.
     pub serving: Option<SetKey>,
-    /// The set that is being brought in.
+    /// Set of weights that is being fetched.
     pub fetching: Option<SetKey>,
-    /// Part of it that is verified, in thousandths.
+    /// Verified part of the set being fetched, in thousandths.
     pub fetched_permille: u32,
-    /// Rate of the transfer, in bytes a second.
+    /// Fetch rate in bytes per second.
     pub fetch_rate: u64,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: u32,
-    /// Requests it can run at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether the endpoint answers.
+    /// Whether the endpoint responds.
     pub healthy: bool,
 }
 
-/// What a node says of itself.
+/// Record that a node publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeRecord {
-    /// Its box.
+    /// Box of the node.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of the box.
     pub region: RegionId,
-    /// What it is.
+    /// Role of the node.
     pub kind: NodeKind,
-    /// Where other nodes reach it.
+    /// Control address, under which other nodes reach it.
     pub control: SocketAddr,
-    /// Start of its process; a later start replaces an earlier one.
+    /// Start time of the process; a record with a later start replaces earlier ones.
     pub incarnation: u64,
-    /// Rises with every change but those of figures, which beats carry; begins at the
-    /// milliseconds of the process's start, so that a restart goes on above the earlier one.
+    /// Version of the record; rises with every change other than to metrics, which heartbeats
+    /// carry. Starts at the start time of the process in milliseconds, so that versions keep rising
+    /// over restarts.
     pub version: u64,
-    /// Seconds on the node's own clock when it said this.
+    /// Seconds on the node's own clock when the record was sent.
     pub beat: u32,
-    /// Revision in force there.
+    /// Configuration revision in force on the node.
     pub revision: ConfigRevision,
-    /// Whether it is about to leave.
+    /// Whether the node is about to leave.
     pub leaving: bool,
-    /// What its endpoint does; none for an entry.
+    /// State of the endpoint; `None` for an entry.
     pub endpoint: Option<EndpointState>,
 }
 
-/// Short key of a node, for beats; two nodes rarely share one.
+/// Short key that identifies a node in heartbeats. Collisions are possible but rare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ShortKey(pub u32);
 
 impl ShortKey {
-    /// The short key of a box.
+    /// Returns the short key of a box.
     pub fn of(id: &BoxId) -> Self {
         Self(id.key() as u32)
     }
 }
 
-/// That a node was alive at some second of its own clock, and its figures then.
+/// Heartbeat of a node with its current metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The node.
+    /// Key of the node.
     pub key: ShortKey,
-    /// The second.
+    /// Seconds on the node's own clock when the heartbeat was sent.
     pub beat: u32,
-    /// Low bits of its record's version, so that a receiver can tell that it lacks news.
+    /// Low bits of the record's version, by which a receiver detects that its record is outdated.
     pub version: u32,
-    /// Revision in force there, low bits.
+    /// Low bits of the configuration revision in force on the node.
     pub revision: u32,
-    /// Requests in progress at its endpoint.
+    /// Requests in progress at the endpoint.
     pub in_progress: u16,
-    /// Part of the set on its way there that is verified, in thousandths.
+    /// Verified part of the set being fetched, in thousandths.
     pub fetched_permille: u16,
 }
 
-/// A datagram between nodes.
+/// Gossip datagram between nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GossipPacket {
-    /// News, with the sender's own record first; none in an answer.
+    /// Records; outside of replies the sender's own record comes first.
     pub records: Vec<NodeRecord>,
-    /// Beats of nodes that need no full record.
+    /// Heartbeats of nodes whose full record is not included.
     pub beats: Vec<Heartbeat>,
-    /// Nodes whose records the sender lacks.
+    /// Nodes whose records the sender requests.
     pub wants: Vec<ShortKey>,
 }
 
-/// What a packet brought.
+/// Result of merging a packet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Something that everybody should hear of soon.
+    /// Whether the packet contained a change that should be forwarded immediately.
     pub urgent: bool,
-    /// A node that has a newer configuration than any known before, and its revision.
+    /// Newest configuration revision above the local one and the control address of a node that has
+    /// it.
     pub newest_config: Option<(ConfigRevision, SocketAddr)>,
-    /// Nodes of which the sender knows more than this node.
+    /// Nodes whose record is missing here or older than the one known to the sender.
     pub missing_records: Vec<ShortKey>,
 }
 
@@ -166,7 +169,8 @@
         known
     }
 
-    /// Works out when a beat that has come now would have come at best.
+    /// Updates `last_alive` to the time at which a heartbeat received now would have arrived with
+    /// the lowest delay observed.
     fn record_heartbeat(&mut self, now: Moment, beat: u32) {
         let sent_at = i64::from(beat) * MICROS_PER_SECOND;
         self.min_clock_offset = self.min_clock_offset.min(now.micros() as i64 - sent_at);
@@ -212,7 +216,8 @@
         }
     }
 
-    /// Whether `version`, which are low bits only, is later than this record's.
+    /// Returns whether `version`, of which only the low bits are known, is newer than this
+    /// record's.
     fn is_older_than(&self, version: u32) -> bool {
         let difference = version.wrapping_sub(self.version as u32);
         difference != 0 && difference < u32::MAX / 2
@@ -222,40 +227,41 @@
         self.endpoint.as_ref().and_then(|state| state.serving)
     }
 
-    /// Whether everybody should hear soon that this has taken the place of `before`.
+    /// Returns whether the change from `before` should be forwarded immediately.
     fn is_urgent_change(&self, before: &Self) -> bool {
         self.leaving != before.leaving || self.serving() != before.serving()
     }
 }
 
-/// A record and when its node was last heard of.
+/// Known node with its latest record.
 #[derive(Debug, Clone)]
 pub struct KnownNode {
-    /// The newest record.
+    /// Latest record.
     pub record: NodeRecord,
-    /// When the node's last beat would have come by the quickest way known: a beat that has been
-    /// on its way for long must not make a dead node look alive.
+    /// Time at which the last heartbeat would have arrived with the lowest delay observed, so that
+    /// a heartbeat that was forwarded slowly does not make a dead node look alive.
     pub last_alive: Moment,
-    /// Least time seen between a second of the node's clock and its coming here, in microseconds.
+    /// Lowest difference observed between the local time of arrival and the node's own time of
+    /// sending, in microseconds.
     min_clock_offset: i64,
-    /// Packets the record has been passed on in since it was news.
+    /// Number of packets in which the current record has been forwarded.
     transmissions: u32,
 }
 
-/// Every node that this one knows of.
+/// Table of all nodes known to this node.
 #[derive(Debug, Clone)]
 pub struct NodeTable {
     own: NodeRecord,
     nodes: BTreeMap<BoxId, KnownNode>,
     short: HashMap<ShortKey, BoxId>,
-    /// Addresses to try when nobody is known.
+    /// Addresses to contact in addition to known nodes.
     seeds: Vec<SocketAddr>,
-    /// When news of others was last passed on at once.
+    /// When an urgent update was last forwarded immediately.
     last_urgent_forward: Moment,
 }
 
 impl NodeTable {
-    /// A table with this node alone.
+    /// Creates a table that contains only this node.
     pub fn new(own: NodeRecord) -> Self {
         Self {
             own,
@@ -266,12 +272,12 @@
         }
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     pub fn own(&self) -> &NodeRecord {
         &self.own
     }
 
-    /// Changes this node's own record.
+    /// Updates this node's own record and raises its version if more than metrics changed.
     pub fn update(&mut self, change: impl FnOnce(&mut NodeRecord)) {
         let before = self.own.clone();
         change(&mut self.own);
@@ -280,12 +286,12 @@
         }
     }
 
-    /// Takes over addresses from the platform's list, to try besides known nodes.
+    /// Sets the addresses from the platform's member list, to contact in addition to known nodes.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Takes in a packet.
+    /// Merges a received packet.
     pub fn merge(&mut self, now: Moment, packet: GossipPacket) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         for record in packet.records {
@@ -323,10 +329,10 @@
         outcome
     }
 
-    /// Takes in a record; true if everybody should hear of it soon.
+    /// Merges a record; returns whether the change should be forwarded immediately.
     fn merge_record(&mut self, now: Moment, record: NodeRecord) -> bool {
         if record.id == self.own.id {
-            // An older start of this box, still on its way around.
+            // Record of an earlier process on this box that is still being forwarded.
             return false;
         }
         let Some(known) = self.nodes.get_mut(&record.id) else {
@@ -349,7 +355,7 @@
         urgent
     }
 
-    /// Takes in a beat; false if its node's record is not known, or is behind.
+    /// Merges a heartbeat; returns `false` if the record of its node is missing or outdated.
     fn merge_heartbeat(&mut self, now: Moment, beat: Heartbeat) -> bool {
         if beat.key == ShortKey::of(&self.own.id) {
             return true;
@@ -363,7 +369,7 @@
         !known.record.is_older_than(beat.version)
     }
 
-    /// Forgets nodes that have been silent for long.
+    /// Removes nodes without a heartbeat for [`EXPIRY_TIMEOUT`].
     pub fn expire(&mut self, now: Moment) {
         self.nodes.retain(|_, known| now.since(known.last_alive) < EXPIRY_TIMEOUT);
         let nodes = &self.nodes;
@@ -376,18 +382,19 @@
         now.since(known.last_alive) < limit
     }
 
-    /// Nodes heard of lately, not counting this one.
+    /// Returns the nodes with a recent heartbeat, except for this node.
     pub fn alive_nodes(&self, now: Moment) -> impl Iterator<Item = &NodeRecord> {
         let is_alive = move |known: &&KnownNode| self.is_alive(now, known);
         self.nodes.values().filter(is_alive).map(|known| &known.record)
     }
 
-    /// Every node known, with the time it was last heard of.
+    /// Returns all known nodes, including those without a recent heartbeat.
     pub fn known_nodes(&self) -> impl Iterator<Item = &KnownNode> {
         self.nodes.values()
     }
 
-    /// The next packet at second `beat` of this node's clock: its own record, news, and beats.
+    /// Builds the next packet at second `beat` of this node's clock: its own record, updated
+    /// records and heartbeats.
     pub fn next_packet(&mut self, beat: u32) -> GossipPacket {
         self.own.beat = beat;
         let mut updates: Vec<&mut KnownNode> = self
@@ -404,9 +411,9 @@
         GossipPacket { records, beats: self.recent_heartbeats(), wants: Vec::new() }
     }
 
-    /// The freshest beats, most of them of the own domain.
+    /// Returns the most recent heartbeats, most of them from this failure domain.
     ///
-    /// They also tell a receiver whom it does not know yet, so that it can ask for the records.
+    /// A receiver also learns from them which nodes it does not know and requests their records.
     fn recent_heartbeats(&self) -> Vec<Heartbeat> {
         let own = &self.own.domain;
         let mut all: Vec<&KnownNode> = self.nodes.values().collect();
@@ -420,13 +427,13 @@
         chosen.map(|known| known.record.to_heartbeat()).collect()
     }
 
-    /// A packet that asks for records that this node lacks.
+    /// Builds a packet that requests missing records.
     pub fn request_records(&self, unknown: Vec<ShortKey>) -> GossipPacket {
         let records = vec![self.own.clone()];
         GossipPacket { records, beats: Vec::new(), wants: unknown }
     }
 
-    /// Packets for the sender of `packet`: the records it asks for, and this node's own if the
+    /// Builds the replies to `packet`: the requested records, and this node's own record if the
     /// sender's configuration is older.
     pub fn replies(&self, packet: &GossipPacket) -> Vec<GossipPacket> {
         let sender = packet.records.first();
@@ -447,8 +454,8 @@
         records.chunks(MAX_PACKET_RECORDS).map(packet).collect()
     }
 
-    /// Where the next packet goes: mostly into this node's domain, now and then into another,
-    /// and to a seed while few nodes are known.
+    /// Chooses the receiver of the next packet: usually a node of this failure domain, sometimes
+    /// one of another domain, and a seed if fewer than two nodes are known or at random.
     pub fn choose_target(&self, now: Moment, rng: &mut SmallRng) -> Option<SocketAddr> {
         if self.nodes.len() < 2 || rng.random_range(0..SEED_ONE_IN) == 0 {
             let seeds = self.seeds.iter().filter(|seed| **seed != self.own.control);
@@ -463,14 +470,13 @@
     }
 }
 
-/// Microseconds of a second.
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// Beats in a packet that are kept for nodes of other domains.
+/// Heartbeats per packet that are reserved for nodes of other failure domains.
 const REMOTE_HEARTBEATS: usize = 20;
 
-/// One packet in this many goes to another domain.
+/// One in this many packets goes to another failure domain.
 const REMOTE_ONE_IN: u32 = 5;
 
-/// One packet in this many goes to an address of the platform's list, known or not.
+/// One in this many packets goes to a seed address, whether or not its node is known.
 const SEED_ONE_IN: u32 = 10;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,7 +1,7 @@
-//! Which engine box runs which model.
+//! Placement of models on engine boxes.
 //!
-//! Every agent works the placement out by itself from the fleet file and the list of boxes; the
-//! weighing against a holder of a lease stands in `docs/decisions/0004-placement.md`.
+//! Every agent computes the placement on its own from the fleet file and the list of boxes.
+//! `docs/decisions/0004-placement.md` compares this with a leader that holds a lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,32 +14,32 @@
 
 use crate::hash::score;
 
-/// A box whose endpoint is a model engine.
+/// Box whose endpoint is a model engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineBox {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: DomainId,
 }
 
-/// Box to the index of its model in the fleet file, with the box's rank among the replicas.
+/// Replica placed on each box.
 pub type Placement = BTreeMap<BoxId, PlacedReplica>;
 
-/// The place of one replica.
+/// Replica of a model on a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacedReplica {
-    /// Index in [`FleetPlan::models`].
+    /// Index of the model in [`FleetPlan::models`].
     pub model: usize,
-    /// Rank among the model's replicas in this domain, from 0.
+    /// Rank among the model's replicas in the failure domain, from 0.
     pub rank: u32,
 }
 
-/// Places every model; a domain with too few boxes runs fewer replicas.
+/// Places every model. A failure domain with too few boxes runs fewer replicas.
 ///
-/// Models take their boxes in the order of the file. Within a domain each model ranks the boxes
-/// that are left by rendezvous hashing on its name, so that a new version stays where the old one
-/// runs, and a box that comes or goes moves few others.
+/// Models are placed in the order of the fleet file. Within a domain each model ranks the remaining
+/// boxes by rendezvous hashing on its name, so that a new version is placed where the old one runs
+/// and adding or removing a box moves few replicas.
 pub fn place(plan: &FleetPlan, boxes: &[EngineBox]) -> Placement {
     let mut placement = Placement::new();
     let domains: BTreeSet<&DomainId> = boxes.iter().map(|one| &one.domain).collect();
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,43 +1,44 @@
-//! How many retries a node may add to the load.
+//! Retry budget: limits the load that the retries of a node add.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// Retries allowed for every hundred first attempts.
+/// Retries allowed per hundred first attempts.
 const RETRIES_PERCENT: u64 = 10;
 
-/// Retries a second that are allowed whatever the load.
+/// Retries per second that are allowed regardless of the load.
 const MIN_RETRIES_PER_SECOND: u64 = 2;
 
-/// Most retries saved up, so that a quiet hour does not pay for a storm.
+/// Maximum number of accumulated retries, so that a long period without retries does not permit a
+/// retry storm.
 const MAX_BALANCE: u64 = 50;
 
 const HUNDREDTHS_PER_RETRY: u64 = 100;
 
-/// A budget that first attempts fill and retries empty.
+/// Token bucket that first attempts fill and retries drain.
 ///
-/// When everything fails, retries add a tenth to the load instead of multiplying it.
+/// If every request fails, retries add a tenth to the load instead of multiplying it.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Hundredths of a retry.
+    /// Accumulated budget, in hundredths of a retry.
     balance: u64,
     refilled_at: Moment,
 }
 
 impl RetryBudget {
-    /// A budget with a few retries in hand.
+    /// Creates a budget of 10 retries.
     pub fn new(now: Moment) -> Self {
         Self { balance: 10 * HUNDREDTHS_PER_RETRY, refilled_at: now }
     }
 
-    /// Counts a first attempt.
+    /// Adds the retry allowance of one first attempt.
     pub fn deposit(&mut self, now: Moment) {
         self.refill(now);
         self.add(RETRIES_PERCENT);
     }
 
-    /// Takes one retry if there is one.
+    /// Withdraws one retry; returns `false` if the budget does not allow it.
     pub fn try_withdraw(&mut self, now: Moment) -> bool {
         self.refill(now);
         let enough = self.balance >= HUNDREDTHS_PER_RETRY;
--- a/crates/core/src/rollover.rs
+++ b/crates/core/src/rollover.rs
@@ -1,27 +1,28 @@
-//! Whose turn it is to change from one set of weights to another.
+//! Rolling switch of replicas from one set of weights to another.
 //!
-//! Replicas of a model in one domain change in the order of their ranks, a few at a time, so that
-//! as many as the fleet file asks for keep serving. Each box decides alone from what it has heard.
-//! What it hears may be old, but "serves the new set" is never taken back by age, so an old
-//! report can only make a box wait longer.
+//! The replicas of a model in one failure domain switch in batches, in the order of their ranks, so
+//! that the number required by the fleet file keeps serving. Each box decides on its own from
+//! gossip. Its view may be outdated, but a report that a replica serves the new set stays valid
+//! with age, so that an outdated view can only make a box wait longer.
 
-/// What is known of one replica of the same model in the same domain.
+/// Known state of another replica of the same model in the same failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// Its rank, from 0.
+    /// Rank of the replica, from 0.
     pub rank: u32,
-    /// Whether it serves the set that is wanted now.
+    /// Whether the replica serves the target set.
     pub serves_wanted: bool,
-    /// Whether it serves any set of this model.
+    /// Whether the replica serves any set of the model.
     pub serves: bool,
 }
 
-/// Whether the replica of `rank` may stop serving its old set now, out of `replicas` of which
-/// `kept` must go on serving.
+/// Returns whether the replica with `rank` may stop serving its old set now, where `min_serving` of
+/// `replicas` must keep serving.
 ///
-/// Of the replicas before it in rank all but a batch must serve the wanted set already; the batch
-/// is as large as the file allows. Also at least `kept` others must be known to serve at all, so
-/// that a domain that has lost boxes does not go below what is asked for by changing versions.
+/// All replicas of lower rank, except for one batch, must already serve the target set. A batch has
+/// `replicas - min_serving` replicas, and at least one. In addition at least `min_serving` other
+/// replicas must be known to serve, so that a switch in a domain that has lost boxes does not
+/// reduce it below the required number.
 pub fn may_switch(rank: u32, replicas: u32, min_serving: u32, others: &[ReplicaView]) -> bool {
     let batch = replicas.saturating_sub(min_serving).max(1);
     let updated_before =
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Choice of the endpoint for a request.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,57 +7,59 @@
 
 use crate::time::Moment;
 
-/// Failures in a row after which an endpoint is left out.
+/// Consecutive failures after which an endpoint is ejected.
 const EJECTION_THRESHOLD: u32 = 3;
 
-/// First time an endpoint is left out for; it doubles each time.
+/// Duration of the first ejection; it doubles with each further one.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(2);
 
-/// Longest such time.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// Time in which a new endpoint is brought up to its full part of the load.
+/// Time over which a new endpoint is ramped up to its full share of the load.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// How long a report about load is believed.
+/// How long a load report is used.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// How full the near endpoints must be, in percent of their slots, before far ones are taken.
+/// Utilisation of all local endpoints, in percent of their slots, from which on requests spill over
+/// to other failure domains.
 const SPILLOVER_PERCENT: u32 = 90;
 
-/// Percent of the average load that an endpoint may have and still be chosen for its cache.
+/// Maximum load of an endpoint chosen for its prompt cache, in percent of the average load.
 const AFFINITY_BOUND_PERCENT: u32 = 125;
 
-/// An endpoint that can answer a request, as its agent reported it.
+/// Endpoint that can serve a request, as reported by its agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its box.
+    /// Box of the endpoint.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Requests it can run at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests in progress there when it last reported.
+    /// Requests in progress at the last gossip report.
     pub reported: u32,
 }
 
 #[derive(Debug, Clone)]
 struct EndpointView {
     first_seen: Moment,
-    /// Requests that this entry has in progress there.
+    /// Requests that this entry has in progress at the endpoint.
     in_progress: u32,
-    /// Load from a report on an answer, and when it came.
+    /// Load reported with a response, and the time of arrival.
     load_report: Option<(u32, Moment)>,
     failures: u32,
     ejections: u32,
     ejected_until: Moment,
 }
 
-/// Chooses endpoints by what this entry has sent and what was reported.
+/// Chooses endpoints by the requests that this entry has in progress and by load reports.
 ///
-/// Reports lag, and every entry reads the same ones, so that "the least loaded" would draw all
-/// entries at once. Each choice compares only two random endpoints, counts its own requests in
-/// progress at once, and believes a report only while it is fresh.
+/// Reports lag and all entries see the same ones, so choosing the least loaded endpoint would send
+/// the requests of all entries to it at once. Each choice therefore compares two random endpoints
+/// (power of two choices), counts this entry's own requests immediately, and ignores outdated
+/// reports.
 #[derive(Debug, Clone)]
 pub struct EndpointPicker {
     domain: DomainId,
@@ -66,13 +68,14 @@
 }
 
 impl EndpointPicker {
-    /// A picker for an entry in `domain`.
+    /// Creates a picker for an entry in `domain`.
     pub fn new(domain: DomainId, rng: SmallRng) -> Self {
         Self { domain, views: HashMap::new(), rng }
     }
 
-    /// Chooses one of `candidates`, leaving out `tried`; `affinity` is a hash of the prompt's
-    /// beginning, whose cache is likely at one of them.
+    /// Chooses one of `candidates` that is not in `tried`.
+    ///
+    /// `affinity` is a hash of the prompt prefix, whose cache is likely to be at one candidate.
     pub fn pick(
         &mut self,
         now: Moment,
@@ -85,7 +88,7 @@
         let remaining: Vec<&Candidate> = candidates.iter().filter(untried).collect();
         let healthy: Vec<&Candidate> =
             remaining.iter().copied().filter(|one| self.is_available(now, &one.id)).collect();
-        // With every endpoint left out, trying one beats refusing everybody.
+        // If every endpoint is ejected, trying one is better than rejecting all requests.
         let usable = if healthy.is_empty() { remaining } else { healthy };
         let local: Vec<&Candidate> =
             usable.iter().copied().filter(|one| one.domain == self.domain).collect();
@@ -98,7 +101,7 @@
         if self.views.contains_key(id) {
             return;
         }
-        // Endpoints that were there when this entry began have been warm for long.
+        // Endpoints that were present when this entry started are assumed to be warmed up.
         let at_startup = self.views.is_empty() || now.since(Moment::ZERO) < WARM_UP;
         let first_seen = if at_startup { Moment::ZERO } else { now };
         let view = EndpointView {
@@ -116,7 +119,7 @@
         self.views.get(id).is_none_or(|view| view.ejected_until <= now)
     }
 
-    /// Load of an endpoint in thousandths of its slots, higher while it is warming up.
+    /// Returns the load of an endpoint in thousandths of its slots, increased during warm-up.
     fn load(&self, now: Moment, candidate: &Candidate) -> u32 {
         let slots = candidate.slots.max(1);
         let Some(view) = self.views.get(&candidate.id) else { return 0 };
@@ -149,7 +152,8 @@
         Some(if self.load(now, other) < self.load(now, one) { other } else { one })
     }
 
-    /// The endpoint that the prompt's beginning hashes to, unless it is much busier than others.
+    /// Returns the endpoint with the highest rendezvous score for the prompt prefix among those
+    /// whose load is within [`AFFINITY_BOUND_PERCENT`] of the average.
     fn pick_by_affinity<'a>(
         &self,
         now: Moment,
@@ -158,7 +162,8 @@
     ) -> Option<&'a Candidate> {
         let total: u32 = pool.iter().map(|one| self.load(now, one)).sum();
         let average = total / pool.len().max(1) as u32;
-        // One request may always be added, or an idle fleet would have no affinity at all.
+        // The bound allows one additional request, since an idle fleet would otherwise have no
+        // affinity.
         let within_bound = |one: &&&Candidate| {
             let bound = average * AFFINITY_BOUND_PERCENT / 100 + 1000 / one.slots.max(1);
             self.load(now, one) <= bound
@@ -167,28 +172,28 @@
         pool.iter().filter(within_bound).max_by_key(score).copied()
     }
 
-    /// A request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     pub fn start_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
             view.in_progress += 1;
         }
     }
 
-    /// A request to an endpoint has ended.
+    /// Records that a request to an endpoint has finished.
     pub fn finish_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
             view.in_progress = view.in_progress.saturating_sub(1);
         }
     }
 
-    /// An answer carried a report about load.
+    /// Records a load report received with a response.
     pub fn record_load(&mut self, now: Moment, id: &BoxId, in_progress: u32) {
         if let Some(view) = self.views.get_mut(id) {
             view.load_report = Some((in_progress, now));
         }
     }
 
-    /// An endpoint answered.
+    /// Records a successful response of an endpoint.
     pub fn record_success(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
             view.failures = 0;
@@ -196,8 +201,9 @@
         }
     }
 
-    /// An endpoint failed; after a few times in a row it is left out for a while, and the next
-    /// request to it afterwards is the probe that brings it back or leaves it out for longer.
+    /// Records a failure of an endpoint. After `EJECTION_THRESHOLD` consecutive failures the
+    /// endpoint is ejected. The first request after the ejection is a probe: success restores the
+    /// endpoint, failure ejects it for longer.
     pub fn record_failure(&mut self, now: Moment, id: &BoxId) {
         let Some(view) = self.views.get_mut(id) else { return };
         view.failures += 1;
@@ -210,7 +216,7 @@
         view.ejected_until = now + ejection_time;
     }
 
-    /// Forgets endpoints that are not in `living` and have nothing in progress.
+    /// Drops endpoints for which `is_alive` is false and that have no request in progress.
     pub fn retain(&mut self, is_alive: impl Fn(&BoxId) -> bool) {
         self.views.retain(|id, view| view.in_progress > 0 || is_alive(id));
     }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decision logic sees it.
+//! Clock-independent time for the decision logic.
 
 use std::{
     fmt,
@@ -6,30 +6,30 @@
     time::Duration,
 };
 
-/// A moment, in microseconds since an origin that its owner chose.
+/// Point in time, in microseconds since an origin chosen by the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(u64);
 
 impl Moment {
-    /// The origin.
+    /// Origin of the time scale.
     pub const ZERO: Self = Self(0);
 
-    /// The moment `micros` microseconds after the origin.
+    /// Creates the moment `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// Seconds since the origin.
+    /// Returns the seconds since the origin.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Time since `earlier`; zero if that is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this moment.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -1,23 +1,24 @@
-//! Applies under every fault of the platform at every call: one winner, no false report.
+//! Applies under every platform fault at every call: one apply wins and no outcome is reported
+//! wrongly.
 
 use headlatch_core::apply::{ApplyEvent, ApplyOutcome, ApplyStep, FleetApply};
 use headlatch_types::{id::ApplyId, quantity::ConfigRevision};
 use rstest::rstest;
 
-/// What the platform does with one call.
+/// Fault injected into one platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallFault {
-    /// It answers.
+    /// The platform handles the call and responds.
     None,
-    /// The call never comes.
+    /// The call fails without reaching the platform, and the caller knows it.
     NotDelivered,
-    /// It acts, and the answer is lost.
+    /// The platform handles the call, but the response is lost.
     ResponseLost,
-    /// Nothing happens, and the caller cannot tell.
+    /// The call has no effect, but the caller cannot tell.
     NoEffect,
 }
 
-/// The platform's fleet object.
+/// In-memory platform that stores the fleet object and records the writes that succeeded.
 #[derive(Debug, Default)]
 struct FakePlatform {
     object: Option<(u64, ApplyId)>,
@@ -55,10 +56,10 @@
 }
 
 fn id(text: &str) -> ApplyId {
-    text.parse().expect("a plain word is a name")
+    text.parse().expect("valid apply id")
 }
 
-/// Every fault at every call of an apply, while nobody else writes.
+/// Injects every fault at every call of a single apply without concurrent writers.
 #[rstest]
 fn outcome_is_correct_under_platform_faults(
     #[values(1, 2, 3, 4)] first_faulty_call: usize,
@@ -80,18 +81,19 @@
         step = apply.handle(platform.call(&step, &id("mine"), fault));
     };
     let took_effect = platform.written.len();
-    assert!(took_effect <= 1, "it was written {took_effect} times");
+    assert!(took_effect <= 1, "fleet object was written {took_effect} times");
     match outcome {
         ApplyOutcome::Applied(revision) => {
             assert_eq!(platform.object, Some((revision.number(), id("mine"))));
         }
         ApplyOutcome::NotApplied => assert_eq!(took_effect, 0),
         ApplyOutcome::Unknown => {}
-        ApplyOutcome::Conflict { .. } => panic!("nobody else wrote"),
+        ApplyOutcome::Conflict { .. } => panic!("conflict reported without a concurrent writer"),
     }
 }
 
-/// Two operators race; the second comes in before each call of the first.
+/// Two operators apply concurrently: the write of the second takes effect before one of the calls
+/// of the first.
 #[rstest]
 fn concurrent_applies_have_one_winner(
     #[values(1, 2, 3, 4)] competing_call: usize,
@@ -114,16 +116,16 @@
         let fault = if is_faulty { fault } else { CallFault::None };
         step = mine.handle(platform.call(&step, &id("mine"), fault));
     };
-    assert_eq!(platform.written.len(), 1, "the other's write and ours cannot both hold");
+    assert_eq!(platform.written.len(), 1, "exactly one of the concurrent writes succeeds");
     match outcome {
         ApplyOutcome::Applied(_) => assert_eq!(platform.written, [id("mine")]),
         ApplyOutcome::Conflict { .. } => assert_eq!(platform.written, [id("theirs")]),
         ApplyOutcome::Unknown => assert_eq!(fault, CallFault::ResponseLost),
-        ApplyOutcome::NotApplied => panic!("the platform answered"),
+        ApplyOutcome::NotApplied => panic!("not applied although the platform was reachable"),
     }
 }
 
-/// An operator who was told "unknown" resumes and learns the truth.
+/// Repeating an apply whose outcome was unknown finds the write that had succeeded.
 #[test]
 fn resumed_apply_recognises_its_own_write() {
     let mut platform = FakePlatform::default();
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Gossip: everybody hears of everybody, of changes, and of silence.
+//! Gossip membership: all nodes learn of all nodes, of updates and of failures.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tables that exchange packets once a second.
+/// Node tables that exchange packets once per simulated second.
 struct SimulatedNetwork {
     tables: BTreeMap<std::net::SocketAddr, NodeTable>,
     rng: SmallRng,
@@ -110,9 +110,11 @@
     network.tables.get_mut(&changed.control).unwrap().update(|own| own.leaving = true);
     (0..30).for_each(|_| network.step());
     for table in network.tables.values().filter(|table| table.own().id != changed.id) {
-        let seen =
-            table.alive_nodes(network.now()).find(|one| one.id == changed.id).expect("it lives");
-        assert!(seen.leaving, "{} has not heard", table.own().id);
+        let seen = table
+            .alive_nodes(network.now())
+            .find(|one| one.id == changed.id)
+            .expect("node is alive");
+        assert!(seen.leaving, "{} did not receive the update", table.own().id);
     }
 }
 
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Shares, retries, keys and the choice of endpoints.
+//! Fair shares, retry budget, idempotency keys and choice of endpoints.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,7 +20,7 @@
     OrganisationQuota { share, max_in_progress: None }
 }
 
-/// Two organisations ask for far more than there is; what runs follows their shares.
+/// Two organisations request more than the capacity: completed requests follow their shares.
 #[test]
 fn capacity_is_split_by_share_under_overload() {
     let names: [OrganisationName; 2] = ["large", "small"].map(|name| name.parse().unwrap());
@@ -31,7 +31,7 @@
     let mut completed: BTreeMap<OrganisationName, u32> = BTreeMap::new();
     for round in 0..1000 {
         for name in &names {
-            // The large one asks five times as often as the small one.
+            // The large organisation sends five times as many requests as the small one.
             for _ in 0..if name.as_str() == "large" { 10 } else { 2 } {
                 number += 1;
                 owners.insert(RequestNumber(number), name.clone());
@@ -108,7 +108,7 @@
 fn stale_load_reports_do_not_concentrate_requests() {
     let mut picker = picker();
     let mut candidates = candidates(10);
-    // All but one reported a high load some time ago; the picker has only that to go by.
+    // All endpoints but one reported a high load earlier, and the picker has no newer reports.
     candidates.iter_mut().skip(1).for_each(|one| one.reported = 5);
     let mut counts: BTreeMap<BoxId, u32> = BTreeMap::new();
     for _ in 0..100 {
@@ -130,9 +130,9 @@
         (0..50).filter_map(|_| picker.pick(at(now), &candidates, &[], None)).any(|id| id == failing)
     };
     assert!(!is_picked(&mut picker, 1000));
-    assert!(is_picked(&mut picker, 2500), "it is probed");
+    assert!(is_picked(&mut picker, 2500), "the endpoint is probed");
     picker.record_failure(at(2500), &failing);
-    assert!(!is_picked(&mut picker, 6000), "and left out for longer");
+    assert!(!is_picked(&mut picker, 6000), "the second ejection lasts longer");
     assert!(is_picked(&mut picker, 6600));
 }
 
@@ -148,8 +148,11 @@
         picker.start_request(&id);
         picked.push(id);
     }
-    let first_remote = picked.iter().position(|id| *id == remote).expect("it spills over");
-    assert!(first_remote >= 25, "the first far request was number {first_remote}");
+    let first_remote = picked
+        .iter()
+        .position(|id| *id == remote)
+        .expect("requests spill over to the remote domain");
+    assert!(first_remote >= 25, "request {first_remote} went to the remote domain");
 }
 
 #[test]
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -1,7 +1,7 @@
-//! A whole session as a golden file: apply, burst, requests, change of version, drain.
+//! Golden test of a complete session: apply, burst, requests, version switch and drain.
 //!
-//! Four boxes in two domains and six chunks; every note arrives at once and in order, so that the
-//! decisions can be read from top to bottom.
+//! The session has four boxes in two failure domains and six chunks. Every message is delivered
+//! immediately and in order, so that the decisions can be read from top to bottom.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -37,7 +37,7 @@
 const BOXES: [(&str, &str); 4] =
     [("north-1", "north"), ("north-2", "north"), ("south-1", "south"), ("south-2", "south")];
 
-/// One box: its gate, its engine's state, and what it holds of each version.
+/// Box with its gate and the state of its engine.
 struct SimulatedBox {
     id: BoxId,
     domain: &'static str,
@@ -93,7 +93,8 @@
         place(&self.plan(), &self.boxes.iter().map(engine).collect::<Vec<_>>())
     }
 
-    /// An operator applies a file; `lost` loses the answer to the write, `on` is what it is based on.
+    /// Applies a fleet file based on revision `based_on`; `response_lost` drops the response to the
+    /// write.
     fn apply(&mut self, operator: &str, fleet: &str, based_on: Option<u64>, response_lost: bool) {
         self.log_line(&format!("\n# {operator} applies a file"));
         let id: ApplyId = operator.parse().unwrap();
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Spreads the wanted version; chunks in `kept` are held by everybody already.
+    /// Distributes the target version; every box starts with the chunks in `initially_held`.
     fn burst(&mut self, initially_held: &[u32]) {
         self.log_line("\n# burst");
         let peers: Vec<PeerLocation> = self.boxes.iter().map(location).collect();
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Lets boxes change to the wanted set, each in its turn, until none is left.
+    /// Switches all boxes to the target set in rollover order.
     fn switch_version(&mut self) {
         self.log_line("\n# gates");
         let plan = self.plan();
@@ -270,7 +271,8 @@
         lines.iter().for_each(|line| self.log_line(line));
     }
 
-    /// Sends requests: repeatable ones, one whose endpoint refuses, one with a key sent twice.
+    /// Sends repeatable requests, a request that its endpoint refuses, and a request that is sent
+    /// twice with the same idempotency key.
     fn requests(&mut self) {
         self.log_line("\n# requests");
         let mut picker = EndpointPicker::new("north".parse().unwrap(), SmallRng::seed_from_u64(3));
@@ -305,7 +307,7 @@
         self.log_line(&format!("  the same key twice: {first:?}, then {second:?}"));
     }
 
-    /// One box leaves; it is chosen no more.
+    /// Removes one box; the placement no longer contains it.
     fn drain(&mut self) {
         self.log_line("\n# drain");
         let drained = self.boxes.remove(0);
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -1,4 +1,4 @@
-//! The gate, placement and changes of version: nothing partial or mixed serves.
+//! Serving gate, placement and version switches: no partial or mixed set of weights is served.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,15 +29,15 @@
     let mut gate = WeightGate::closed();
     gate.set_target(Some(target(1, &[b"base", b"adapter"])));
     gate.mark_verified(Digest::of(b"base"));
-    assert_eq!(gate.next_step(), GateStep::Wait, "the adapter is missing");
+    assert_eq!(gate.next_step(), GateStep::Wait, "the adapter is not verified");
     gate.mark_verified(Digest::of(b"adapter"));
     assert_eq!(gate.next_step(), GateStep::Ready(SetKey(1)));
     gate.handle_report(report(9, Some(1), false));
-    assert_eq!(gate.serving(), None, "nobody ordered what the engine has");
-    let (_, token) = gate.issue_order(report(9, None, false)).expect("it is ready");
+    assert_eq!(gate.serving(), None, "the loaded set was not ordered by this gate");
+    let (_, token) = gate.issue_order(report(9, None, false)).expect("target is ready");
     assert_eq!(token, FencingToken::new(10));
     gate.handle_report(report(10, None, true));
-    assert_eq!(gate.serving(), None, "it is still loading");
+    assert_eq!(gate.serving(), None, "the engine is still loading");
     gate.handle_report(report(10, Some(1), false));
     assert_eq!(gate.serving(), Some(SetKey(1)));
 }
@@ -47,15 +47,17 @@
     let mut gate = WeightGate::closed();
     gate.set_target(Some(target(1, &[b"base"])));
     gate.mark_verified(Digest::of(b"base"));
-    gate.issue_order(report(0, None, false)).expect("it is ready");
+    gate.issue_order(report(0, None, false)).expect("target is ready");
     gate.handle_report(report(1, Some(1), false));
-    // Somebody else gave an order, though for the same set: what runs is no longer known.
+    // Another agent issued an order. Even for the same set, the state of the engine is unknown.
     gate.handle_report(report(2, Some(1), false));
     assert_eq!(gate.serving(), None);
-    let (_, token) = gate.issue_order(report(2, Some(1), false)).expect("a new order may be given");
-    assert_eq!(token, FencingToken::new(3), "tokens rise above every one seen");
+    let (_, token) =
+        gate.issue_order(report(2, Some(1), false)).expect("a new order can be issued");
+    assert_eq!(token, FencingToken::new(3), "the token is higher than every token seen");
 }
 
+/// An order of an agent that was paused has a lower token than the order issued in the meantime.
 #[test]
 fn delayed_order_has_lower_token() {
     let (mut delayed, mut successor) = (WeightGate::closed(), WeightGate::closed());
@@ -63,9 +65,9 @@
         gate.set_target(Some(target(1, &[b"base"])));
         gate.mark_verified(Digest::of(b"base"));
     }
-    let (_, old) = delayed.issue_order(report(4, None, false)).expect("it is ready");
-    let (_, new) = successor.issue_order(report(5, None, false)).expect("it is ready");
-    assert!(new > old, "an engine that checks refuses the sleeper's order");
+    let (_, old) = delayed.issue_order(report(4, None, false)).expect("target is ready");
+    let (_, new) = successor.issue_order(report(5, None, false)).expect("target is ready");
+    assert!(new > old, "an engine that checks tokens rejects the delayed order");
 }
 
 #[test]
@@ -81,7 +83,7 @@
     assert_eq!(
         gate.issue_order(report(1, Some(1), false)),
         None,
-        "requests may still run on the old"
+        "requests may still run on the old set"
     );
     gate.stop_serving();
     assert!(gate.issue_order(report(1, Some(1), false)).is_some());
@@ -97,20 +99,21 @@
             json!({ "name": name, "version": "1", "manifest": digest, "replicas": { "a": count } })
         })
         .collect();
-    FleetPlan::parse(&json!({ "models": rows }).to_string()).expect("it is good")
+    FleetPlan::parse(&json!({ "models": rows }).to_string()).expect("valid fleet file")
 }
 
 fn boxes(numbers: impl Iterator<Item = u32>) -> Vec<EngineBox> {
     numbers
         .map(|nth| EngineBox {
-            id: format!("box-{nth}").parse().expect("it is a name"),
-            domain: "a".parse().expect("it is a name"),
+            id: format!("box-{nth}").parse().expect("valid box id"),
+            domain: "a".parse().expect("valid domain id"),
         })
         .collect()
 }
 
 proptest! {
-    /// The loss of one box moves as few replicas as there are models after the one it ran.
+    /// Removing a box moves at most one replica of the model it ran and of each model placed after
+    /// that one.
     #[test]
     fn placement_moves_few_replicas(removed in 0u32..20, first in 1u32..10, second in 1u32..8) {
         let plan = fleet(&[("one", first), ("two", second)]);
@@ -125,7 +128,8 @@
         prop_assert!(moved <= 2, "{moved} replicas moved");
     }
 
-    /// Replicas that see the others late never leave fewer serving than the file asks for.
+    /// Replicas with outdated views of each other never leave fewer serving than the fleet file
+    /// requires.
     #[test]
     fn version_switches_keep_min_serving(
         replicas in 1u32..10,
@@ -133,7 +137,7 @@
         steps in prop::collection::vec((0u32..10, any::<bool>()), 1..200),
     ) {
         let min_serving = replicas.saturating_sub(spare);
-        // What each replica does, and what everybody believes of it, which may be older.
+        // Actual state of each replica, and the possibly outdated state known to the others.
         let mut actual = vec![(false, true); replicas as usize];
         let mut observed = actual.clone();
         for (nth, refresh) in steps {
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Configurations in any order, repeated or broken, never take a node back.
+    /// Configurations that arrive out of order, repeatedly or corrupted never lower the revision.
     #[test]
     fn configuration_revision_never_decreases(offers in prop::collection::vec((0u64..9, any::<bool>()), 1..40)) {
         let mut holder = ConfigHolder::default();
