--- a/crates/core/src/rollover.rs
+++ b/crates/core/src/rollover.rs
@@ -11,7 +11,7 @@
     /// Rank of the replica, from 0.
     pub rank: u32,
     /// Whether the replica serves the target set.
-    pub serves_wanted: bool,
+    pub serves_target: bool,
     /// Whether the replica serves any set of the model.
     pub serves: bool,
 }
@@ -26,7 +26,7 @@
 pub fn may_switch(rank: u32, replicas: u32, min_serving: u32, others: &[ReplicaView]) -> bool {
     let batch = replicas.saturating_sub(min_serving).max(1);
     let updated_before =
-        others.iter().filter(|other| other.rank < rank && other.serves_wanted).count() as u32;
+        others.iter().filter(|other| other.rank < rank && other.serves_target).count() as u32;
     let in_turn = rank < updated_before + batch;
     let serving = others.iter().filter(|other| other.serves).count() as u32;
     in_turn && serving >= min_serving
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -235,14 +235,14 @@
         }
     }
 
-    fn views(&self, index: usize, placement: &Placement, wanted: SetKey) -> Vec<ReplicaView> {
+    fn views(&self, index: usize, placement: &Placement, target: SetKey) -> Vec<ReplicaView> {
         let others = self.boxes.iter().filter(|other| {
             other.domain == self.boxes[index].domain && other.id != self.boxes[index].id
         });
         others
             .map(|other| ReplicaView {
                 rank: placement[&other.id].rank,
-                serves_wanted: other.gate.serving() == Some(wanted),
+                serves_target: other.gate.serving() == Some(target),
                 serves: other.gate.serving().is_some(),
             })
             .collect()
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -149,8 +149,8 @@
             let others: Vec<ReplicaView> = (0..replicas)
                 .filter(|rank| *rank as usize != index)
                 .map(|rank| {
-                    let (serves_wanted, serves) = observed[rank as usize];
-                    ReplicaView { rank, serves_wanted, serves }
+                    let (serves_target, serves) = observed[rank as usize];
+                    ReplicaView { rank, serves_target, serves }
                 })
                 .collect();
             actual[index] = match actual[index] {
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -382,11 +382,11 @@
             .filter(|record| record.domain == *domain)
             .filter_map(|record| {
                 let placed = goal.placement.get(&record.id)?;
-                let serves_wanted = serving(record) == Some(wanted);
+                let serves_target = serving(record) == Some(wanted);
                 let serves = serving(record).is_some();
                 (placed.model == own.model).then_some(ReplicaView {
                     rank: placed.rank,
-                    serves_wanted,
+                    serves_target,
                     serves,
                 })
             })
