--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Choice of the endpoint for a request.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,57 +7,59 @@
 
 use crate::time::Moment;
 
-/// Failures in a row after which an endpoint is left out.
-const EJECT_AFTER: u32 = 3;
+/// Consecutive failures after which an endpoint is ejected.
+const EJECTION_THRESHOLD: u32 = 3;
 
-/// First time an endpoint is left out for; it doubles each time.
-const FIRST_EJECTION: Duration = Duration::from_secs(2);
+/// Duration of the first ejection; it doubles with each further one.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(2);
 
-/// Longest such time.
-const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+/// Maximum duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// Time in which a new endpoint is brought up to its full part of the load.
+/// Time over which a new endpoint is ramped up to its full share of the load.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// How long a report about load is believed.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+/// How long a load report is used.
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// How full the near endpoints must be, in percent of their slots, before far ones are taken.
-const SPILL_PERCENT: u32 = 90;
+/// Utilisation of all local endpoints, in percent of their slots, from which on requests spill over
+/// to other failure domains.
+const SPILLOVER_PERCENT: u32 = 90;
 
-/// Percent of the average load that an endpoint may have and still be chosen for its cache.
+/// Maximum load of an endpoint chosen for its prompt cache, in percent of the average load.
 const AFFINITY_BOUND_PERCENT: u32 = 125;
 
-/// An endpoint that can answer a request, as its agent reported it.
+/// Endpoint that can serve a request, as reported by its agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its box.
+    /// Box of the endpoint.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Requests it can run at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests in progress there when it last reported.
+    /// Requests in progress at the last gossip report.
     pub reported: u32,
 }
 
 #[derive(Debug, Clone)]
 struct EndpointView {
     first_seen: Moment,
-    /// Requests that this entry has in progress there.
-    local: u32,
-    /// Load from a report on an answer, and when it came.
-    report: Option<(u32, Moment)>,
+    /// Requests that this entry has in progress at the endpoint.
+    in_progress: u32,
+    /// Load reported with a response, and the time of arrival.
+    load_report: Option<(u32, Moment)>,
     failures: u32,
     ejections: u32,
     ejected_until: Moment,
 }
 
-/// Chooses endpoints by what this entry has sent and what was reported.
+/// Chooses endpoints by the requests that this entry has in progress and by load reports.
 ///
-/// Reports lag, and every entry reads the same ones, so that "the least loaded" would draw all
-/// entries at once. Each choice compares only two random endpoints, counts its own requests in
-/// progress at once, and believes a report only while it is fresh.
+/// Reports lag and all entries see the same ones, so choosing the least loaded endpoint would send
+/// the requests of all entries to it at once. Each choice therefore compares two random endpoints
+/// (power of two choices), counts this entry's own requests immediately, and ignores outdated
+/// reports.
 #[derive(Debug, Clone)]
 pub struct EndpointPicker {
     domain: DomainId,
@@ -66,13 +68,14 @@
 }
 
 impl EndpointPicker {
-    /// A picker for an entry in `domain`.
+    /// Creates a picker for an entry in `domain`.
     pub fn new(domain: DomainId, rng: SmallRng) -> Self {
         Self { domain, views: HashMap::new(), rng }
     }
 
-    /// Chooses one of `candidates`, leaving out `tried`; `affinity` is a hash of the prompt's
-    /// beginning, whose cache is likely at one of them.
+    /// Chooses one of `candidates` that is not in `tried`.
+    ///
+    /// `affinity` is a hash of the prompt prefix, whose cache is likely to be at one candidate.
     pub fn pick(
         &mut self,
         now: Moment,
@@ -80,31 +83,31 @@
         tried: &[BoxId],
         affinity: Option<u64>,
     ) -> Option<BoxId> {
-        candidates.iter().for_each(|candidate| self.meet(now, &candidate.id));
-        let fresh = |candidate: &&Candidate| !tried.contains(&candidate.id);
-        let open: Vec<&Candidate> = candidates.iter().filter(fresh).collect();
+        candidates.iter().for_each(|candidate| self.register(now, &candidate.id));
+        let untried = |candidate: &&Candidate| !tried.contains(&candidate.id);
+        let remaining: Vec<&Candidate> = candidates.iter().filter(untried).collect();
         let healthy: Vec<&Candidate> =
-            open.iter().copied().filter(|one| self.is_open(now, &one.id)).collect();
-        // With every endpoint left out, trying one beats refusing everybody.
-        let usable = if healthy.is_empty() { open } else { healthy };
-        let near: Vec<&Candidate> =
+            remaining.iter().copied().filter(|one| self.is_available(now, &one.id)).collect();
+        // If every endpoint is ejected, trying one is better than rejecting all requests.
+        let usable = if healthy.is_empty() { remaining } else { healthy };
+        let local: Vec<&Candidate> =
             usable.iter().copied().filter(|one| one.domain == self.domain).collect();
-        let pool = if self.has_room(now, &near) { near } else { usable };
-        let cached = affinity.and_then(|hash| self.pick_cached(now, &pool, hash));
-        cached.or_else(|| self.pick_of_two(now, &pool)).map(|one| one.id.clone())
+        let pool = if self.has_capacity(now, &local) { local } else { usable };
+        let by_affinity = affinity.and_then(|hash| self.pick_by_affinity(now, &pool, hash));
+        by_affinity.or_else(|| self.pick_least_loaded_of_two(now, &pool)).map(|one| one.id.clone())
     }
 
-    fn meet(&mut self, now: Moment, id: &BoxId) {
+    fn register(&mut self, now: Moment, id: &BoxId) {
         if self.views.contains_key(id) {
             return;
         }
-        // Endpoints that were there when this entry began have been warm for long.
-        let first = self.views.is_empty() || now.since(Moment::ZERO) < WARM_UP;
-        let first_seen = if first { Moment::ZERO } else { now };
+        // Endpoints that were present when this entry started are assumed to be warmed up.
+        let at_startup = self.views.is_empty() || now.since(Moment::ZERO) < WARM_UP;
+        let first_seen = if at_startup { Moment::ZERO } else { now };
         let view = EndpointView {
             first_seen,
-            local: 0,
-            report: None,
+            in_progress: 0,
+            load_report: None,
             failures: 0,
             ejections: 0,
             ejected_until: Moment::ZERO,
@@ -112,31 +115,35 @@
         self.views.insert(id.clone(), view);
     }
 
-    fn is_open(&self, now: Moment, id: &BoxId) -> bool {
+    fn is_available(&self, now: Moment, id: &BoxId) -> bool {
         self.views.get(id).is_none_or(|view| view.ejected_until <= now)
     }
 
-    /// Load of an endpoint in thousandths of its slots, higher while it is warming up.
+    /// Returns the load of an endpoint in thousandths of its slots, increased during warm-up.
     fn load(&self, now: Moment, candidate: &Candidate) -> u32 {
         let slots = candidate.slots.max(1);
         let Some(view) = self.views.get(&candidate.id) else { return 0 };
-        let report = view.report.filter(|(_, at)| now.since(*at) < REPORT_LIFE);
+        let report = view.load_report.filter(|(_, at)| now.since(*at) < LOAD_REPORT_TTL);
         let reported = report.map_or(candidate.reported, |(load, _)| load);
-        let load = reported.max(view.local) * 1000 / slots;
+        let load = reported.max(view.in_progress) * 1000 / slots;
         let age = now.since(view.first_seen);
         if view.first_seen == Moment::ZERO || age >= WARM_UP {
             return load;
         }
-        let cold = 1000 - (age.as_millis() * 1000 / WARM_UP.as_millis()) as u32;
-        load + cold * (1 + view.local) * 1000 / slots / 1000
+        let ramp_remainder = 1000 - (age.as_millis() * 1000 / WARM_UP.as_millis()) as u32;
+        load + ramp_remainder * (1 + view.in_progress) * 1000 / slots / 1000
     }
 
-    fn has_room(&self, now: Moment, pool: &[&Candidate]) -> bool {
-        let full = |candidate: &&Candidate| self.load(now, candidate) >= SPILL_PERCENT * 10;
+    fn has_capacity(&self, now: Moment, pool: &[&Candidate]) -> bool {
+        let full = |candidate: &&Candidate| self.load(now, candidate) >= SPILLOVER_PERCENT * 10;
         !pool.is_empty() && !pool.iter().all(full)
     }
 
-    fn pick_of_two<'a>(&mut self, now: Moment, pool: &[&'a Candidate]) -> Option<&'a Candidate> {
+    fn pick_least_loaded_of_two<'a>(
+        &mut self,
+        now: Moment,
+        pool: &[&'a Candidate],
+    ) -> Option<&'a Candidate> {
         if pool.is_empty() {
             return None;
         }
@@ -145,8 +152,9 @@
         Some(if self.load(now, other) < self.load(now, one) { other } else { one })
     }
 
-    /// The endpoint that the prompt's beginning hashes to, unless it is much busier than others.
-    fn pick_cached<'a>(
+    /// Returns the endpoint with the highest rendezvous score for the prompt prefix among those
+    /// whose load is within [`AFFINITY_BOUND_PERCENT`] of the average.
+    fn pick_by_affinity<'a>(
         &self,
         now: Moment,
         pool: &[&'a Candidate],
@@ -154,59 +162,62 @@
     ) -> Option<&'a Candidate> {
         let total: u32 = pool.iter().map(|one| self.load(now, one)).sum();
         let average = total / pool.len().max(1) as u32;
-        // One request may always be added, or an idle fleet would have no affinity at all.
-        let fits = |one: &&&Candidate| {
+        // The bound allows one additional request, since an idle fleet would otherwise have no
+        // affinity.
+        let within_bound = |one: &&&Candidate| {
             let bound = average * AFFINITY_BOUND_PERCENT / 100 + 1000 / one.slots.max(1);
             self.load(now, one) <= bound
         };
         let score = |one: &&&Candidate| crate::hash::score(affinity, one.id.key());
-        pool.iter().filter(fits).max_by_key(score).copied()
+        pool.iter().filter(within_bound).max_by_key(score).copied()
     }
 
-    /// A request was sent to an endpoint.
-    pub fn begin(&mut self, id: &BoxId) {
+    /// Records that a request was sent to an endpoint.
+    pub fn start_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.local += 1;
+            view.in_progress += 1;
         }
     }
 
-    /// A request to an endpoint has ended.
-    pub fn end(&mut self, id: &BoxId) {
+    /// Records that a request to an endpoint has finished.
+    pub fn finish_request(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.local = view.local.saturating_sub(1);
+            view.in_progress = view.in_progress.saturating_sub(1);
         }
     }
 
-    /// An answer carried a report about load.
-    pub fn report(&mut self, now: Moment, id: &BoxId, in_progress: u32) {
+    /// Records a load report received with a response.
+    pub fn record_load(&mut self, now: Moment, id: &BoxId, in_progress: u32) {
         if let Some(view) = self.views.get_mut(id) {
-            view.report = Some((in_progress, now));
+            view.load_report = Some((in_progress, now));
         }
     }
 
-    /// An endpoint answered.
-    pub fn succeed(&mut self, id: &BoxId) {
+    /// Records a successful response of an endpoint.
+    pub fn record_success(&mut self, id: &BoxId) {
         if let Some(view) = self.views.get_mut(id) {
             view.failures = 0;
             view.ejections = 0;
         }
     }
 
-    /// An endpoint failed; after a few times in a row it is left out for a while, and the next
-    /// request to it afterwards is the probe that brings it back or leaves it out for longer.
-    pub fn fail(&mut self, now: Moment, id: &BoxId) {
+    /// Records a failure of an endpoint. After `EJECTION_THRESHOLD` consecutive failures the
+    /// endpoint is ejected. The first request after the ejection is a probe: success restores the
+    /// endpoint, failure ejects it for longer.
+    pub fn record_failure(&mut self, now: Moment, id: &BoxId) {
         let Some(view) = self.views.get_mut(id) else { return };
         view.failures += 1;
-        if view.failures < EJECT_AFTER && view.ejections == 0 {
+        if view.failures < EJECTION_THRESHOLD && view.ejections == 0 {
             return;
         }
-        let time = FIRST_EJECTION.saturating_mul(1 << view.ejections.min(5)).min(LONGEST_EJECTION);
+        let ejection_time =
+            BASE_EJECTION_TIME.saturating_mul(1 << view.ejections.min(5)).min(MAX_EJECTION_TIME);
         view.ejections += 1;
-        view.ejected_until = now + time;
+        view.ejected_until = now + ejection_time;
     }
 
-    /// Forgets endpoints that are not in `living` and have nothing in progress.
-    pub fn retain(&mut self, living: impl Fn(&BoxId) -> bool) {
-        self.views.retain(|id, view| view.local > 0 || living(id));
+    /// Drops endpoints for which `is_alive` is false and that have no request in progress.
+    pub fn retain(&mut self, is_alive: impl Fn(&BoxId) -> bool) {
+        self.views.retain(|id, view| view.in_progress > 0 || is_alive(id));
     }
 }
--- a/crates/daemon/tests/begun_answers.rs
+++ b/crates/daemon/tests/begun_answers.rs
@@ -128,7 +128,7 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
     expect_that!(stream.await.expect("stream task ends"), eq(&complete_stream()));
-    drains.iter().map(|drain| drain.kept).sum()
+    drains.iter().map(|drain| drain.unresumable).sum()
 }
 
 /// Only the report of an entry keeps an agent from a switch that cuts off running streams. Of 178
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -433,7 +433,7 @@
 #[tokio::test]
 async fn an_entry_answers_an_agent_whose_server_is_about_to_change() {
     let fixture = Fixture::new(complete_answer, complete_answer).await;
-    let drain = DrainNotice { server: fixture.first.address, waiting: 0, kept: 0 };
+    let drain = DrainNotice { server: fixture.first.address, waiting: 0, unresumable: 0 };
     let drains = drains_told(&fixture.entry.state, fixture.first.address).await;
     expect_that!(drains, eq(&vec![drain]));
     // The draining server gets no more requests.
