--- a/crates/client/src/demo/cluster.rs
+++ b/crates/client/src/demo/cluster.rs
@@ -12,7 +12,7 @@
     entry::RunningEntry,
     platform::{HttpStore, SharedStore},
     timer::{SharedTimer, SystemTimer},
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 use headlatch_standins::{
     RunningStandIn,
@@ -76,7 +76,7 @@
 struct NodeKit {
     timer: SharedTimer,
     store: SharedStore,
-    spans: SpanMaker,
+    spans: SpanFactory,
     platform: SocketAddr,
 }
 
@@ -125,7 +125,7 @@
         }
         let platform_address = standins[0].address();
         let store: SharedStore = Arc::new(HttpStore::new(ServiceUrl::at(platform_address)));
-        let spans = SpanMaker::new("headlatch-demo", None)
+        let spans = SpanFactory::new("headlatch-demo", None)
             .change_context_lazy(|| ClientError::Local("traces cannot be set up".to_owned()))?;
         let kit = NodeKit {
             timer: Arc::new(SystemTimer::default()),
--- a/crates/daemon/src/agent/hub.rs
+++ b/crates/daemon/src/agent/hub.rs
@@ -68,7 +68,7 @@
         *early = kept;
         drop(early);
         told.into_iter().for_each(|notes| {
-            self.take_notes(notes);
+            self.handle_notes(notes);
         });
     }
 
@@ -98,7 +98,7 @@
 }
 
 impl SwarmHost for SwarmHub {
-    fn take_notes(&self, notes: SwarmNotes) -> bool {
+    fn handle_notes(&self, notes: SwarmNotes) -> bool {
         let Some(handle) = manifest_digest(&notes.manifest).and_then(|digest| self.get(&digest))
         else {
             self.keep_early(notes);
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -29,12 +29,12 @@
         NodeContext,
         admin::{self, ReadyFlag},
         gossip,
-        service::{MOST_MESSAGE, NodeService, SwarmHost},
+        service::{MAX_MESSAGE_BYTES, NodeService, SwarmHost},
         sync,
     },
     platform::SharedStore,
     timer::SharedTimer,
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 
 use self::{
@@ -83,7 +83,7 @@
         settings: AgentSettings,
         timer: SharedTimer,
         store: SharedStore,
-        spans: SpanMaker,
+        spans: SpanFactory,
     ) -> Result<Self, Report<DaemonError>> {
         let (listener, socket) = bind_control(settings.node.control).await?;
         let bind_failure = || DaemonError::Bind(settings.node.admin);
@@ -193,9 +193,10 @@
     ) -> impl Future<Output = ()> + use<> {
         let host: Arc<dyn SwarmHost> = self.hub.clone();
         let node_service = NodeService::new(self.node.clone(), Some(host));
-        let node_service = NodeServer::new(node_service).max_decoding_message_size(MOST_MESSAGE);
+        let node_service =
+            NodeServer::new(node_service).max_decoding_message_size(MAX_MESSAGE_BYTES);
         let endpoint = EndpointService::new(self.node.clone(), self.desk.clone());
-        let endpoint = EndpointServer::new(endpoint).max_decoding_message_size(MOST_MESSAGE);
+        let endpoint = EndpointServer::new(endpoint).max_decoding_message_size(MAX_MESSAGE_BYTES);
         let incoming = TcpListenerStream::new(listener);
         let served = crate::node::service::server()
             .add_service(node_service)
--- a/crates/daemon/src/agent/swarm.rs
+++ b/crates/daemon/src/agent/swarm.rs
@@ -383,7 +383,7 @@
             "took_ms": self.tools.node.now().since(begun).as_millis() as u64,
             "failure": failure.map(failure_name),
         });
-        decisions::note("weights", "drawn", fields);
+        decisions::info("weights", "drawn", fields);
     }
 
     async fn bring_in(&self, answers: mpsc::Receiver<Step>) -> Result<(), FetchFailure> {
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -19,20 +19,20 @@
 use crate::timer::unix_time;
 
 /// Most bytes that wait to be written.
-const MOST_BUFFERED: usize = 512 << 10;
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
 
 /// Most lines in one second.
-const MOST_LINES: u32 = 2_000;
+const MAX_LINES_PER_SECOND: u32 = 2_000;
 
 /// Time that the writer lets lines gather.
-const GATHER_TIME: Duration = Duration::from_millis(100);
+const WRITE_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
 struct Buffer {
     bytes: Vec<u8>,
     second: u64,
     lines: u32,
-    untold: u64,
+    unreported: u64,
 }
 
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     buffer: Mutex<Buffer>,
     writer: OnceLock<Thread>,
     dropped: AtomicU64,
-    begun: Instant,
+    started: Instant,
 }
 
 static LOG: OnceLock<DecisionLog> = OnceLock::new();
@@ -63,9 +63,9 @@
         buffer: Mutex::default(),
         writer: OnceLock::new(),
         dropped: AtomicU64::new(0),
-        begun: Instant::now(),
+        started: Instant::now(),
     });
-    let spawned = std::thread::Builder::new().name("log".to_owned()).spawn(move || write_on(log));
+    let spawned = std::thread::Builder::new().name("log".to_owned()).spawn(move || run_writer(log));
     if let Ok(handle) = spawned {
         // A second start keeps the first writer, which does as well.
         let _ = log.writer.set(handle.thread().clone());
@@ -78,7 +78,7 @@
 }
 
 /// Writes down one decision.
-pub fn note(part: &str, event: &str, fields: impl Serialize) {
+pub fn info(part: &str, event: &str, fields: impl Serialize) {
     write("info", part, event, fields);
 }
 
@@ -89,14 +89,14 @@
 
 pub(crate) fn write(level: &str, part: &str, event: &str, fields: impl Serialize) {
     let Some(log) = LOG.get() else { return };
-    let steady_us = log.begun.elapsed().as_micros() as u64;
+    let steady_us = log.started.elapsed().as_micros() as u64;
     let time_ms = unix_time().as_millis() as u64;
     log.add(steady_us, &Line { time_ms, steady_us, level, part, event, fields });
 }
 
 impl DecisionLog {
     fn lock(&self) -> MutexGuard<'_, Buffer> {
-        self.buffer.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.buffer.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn add(&self, steady_us: u64, line: &impl Serialize) {
@@ -107,8 +107,8 @@
             buffer.lines = 0;
         }
         buffer.lines += 1;
-        if buffer.lines > MOST_LINES || buffer.bytes.len() > MOST_BUFFERED {
-            buffer.untold += 1;
+        if buffer.lines > MAX_LINES_PER_SECOND || buffer.bytes.len() > MAX_BUFFERED_BYTES {
+            buffer.unreported += 1;
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
@@ -126,24 +126,24 @@
 
     fn take(&self) -> (Vec<u8>, u64) {
         let mut buffer = self.lock();
-        let untold = std::mem::take(&mut buffer.untold);
-        (std::mem::take(&mut buffer.bytes), untold)
+        let unreported = std::mem::take(&mut buffer.unreported);
+        (std::mem::take(&mut buffer.bytes), unreported)
     }
 }
 
-fn write_on(log: &DecisionLog) {
+fn run_writer(log: &DecisionLog) {
     loop {
-        let (mut bytes, untold) = log.take();
+        let (mut bytes, unreported) = log.take();
         if bytes.is_empty() {
             std::thread::park();
-            std::thread::sleep(GATHER_TIME);
+            std::thread::sleep(WRITE_DELAY);
             continue;
         }
-        if untold > 0 {
+        if unreported > 0 {
             let line = format!(
-                "{{\"time_ms\":{},\"steady_us\":{},\"level\":\"warn\",\"part\":\"log\",\"event\":\"lines_left_out\",\"lines\":{untold}}}\n",
+                "{{\"time_ms\":{},\"steady_us\":{},\"level\":\"warn\",\"part\":\"log\",\"event\":\"lines_left_out\",\"lines\":{unreported}}}\n",
                 unix_time().as_millis(),
-                log.begun.elapsed().as_micros(),
+                log.started.elapsed().as_micros(),
             );
             bytes.extend_from_slice(line.as_bytes());
         }
--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -52,12 +52,12 @@
     node::{
         NodeContext,
         admin::{self, ReadyFlag},
-        service::{MOST_MESSAGE, NodeService, SwarmHost},
+        service::{MAX_MESSAGE_BYTES, NodeService, SwarmHost},
     },
     platform::HttpStore,
-    supervisor::keep_running,
+    supervisor::supervise,
     timer::SharedTimer,
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 
 /// Memory for pieces: a version that is served, one that is staged and one that comes next.
@@ -132,7 +132,7 @@
             .change_context_lazy(failure)?;
         let control = settings.node.control;
         let unused_store = Arc::new(HttpStore::new(settings.node.platform.clone()));
-        let spans = SpanMaker::new("headlatch-agent", settings.node.traces.as_ref())?;
+        let spans = SpanFactory::new("headlatch-agent", settings.node.traces.as_ref())?;
         let node_settings = settings.node.clone();
         let node =
             NodeContext::new(node_settings, NodeKind::Agent, control, timer, unused_store, spans);
@@ -187,12 +187,12 @@
         let router = admin::add_routes(Router::new(), &node, &ReadyFlag::default());
         let tasks = vec![
             tokio::spawn(stager.run()),
-            keep_running("plan", move || plan.clone().run(planned.clone(), plan_store.clone())),
+            supervise("plan", move || plan.clone().run(planned.clone(), plan_store.clone())),
             tokio::spawn(serve_peers(node, hub.clone(), listener)),
-            keep_running("notices", move || {
+            supervise("notices", move || {
                 agent_notices::run(told.clone(), hub.clone(), socket.clone())
             }),
-            keep_running("weights", move || {
+            supervise("weights", move || {
                 let watched = watched.clone();
                 let (store, nudge, gate) = (store.clone(), weights_nudge.clone(), gate.clone());
                 follow(store, FactTopic::Weights, nudge, gate, move |news| {
@@ -201,14 +201,14 @@
             }),
             tokio::spawn(admin_server.serve(router, signal)),
         ];
-        decisions::note("life", "started", fields);
+        decisions::info("life", "started", fields);
         Ok(Self { state, stop, tasks })
     }
 
     /// Stops at once: nothing that callers wait for runs here.
     pub fn leave(self) {
         let whole = lock(&self.state.notice).whole;
-        decisions::note("life", "stopped", json!({ "whole": whole }));
+        decisions::info("life", "stopped", json!({ "whole": whole }));
         self.stop.stop();
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -221,7 +221,7 @@
 ) {
     let host: Arc<dyn SwarmHost> = hub;
     let service = NodeServer::new(NodeService::new(node, Some(host)));
-    let service = service.max_decoding_message_size(MOST_MESSAGE);
+    let service = service.max_decoding_message_size(MAX_MESSAGE_BYTES);
     let served = crate::node::service::server()
         .add_service(service)
         .serve_with_incoming(TcpListenerStream::new(listener))
@@ -298,7 +298,7 @@
         let age_ms = age.as_millis() as u64;
         let fields =
             json!({ "model": model, "version": version, "before": before, "age_ms": age_ms });
-        decisions::note("weights", "version_wanted", fields);
+        decisions::info("weights", "version_wanted", fields);
         self.wanted_news.notify_one();
     }
 
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -78,7 +78,7 @@
             Some(Datagram::Bundle(bundle)) => self.hear_bundle(bundle),
             Some(Datagram::Notes(notes)) => {
                 // Notes of a transfer that has not begun here are kept for a while.
-                let _ = self.hub.take_notes(notes);
+                let _ = self.hub.handle_notes(notes);
             }
             None => {}
         }
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -105,7 +105,7 @@
                     self.take(plan);
                     self.wait_for_doubt(&state).await;
                 }
-                None => decisions::note("plan", "names_no_origin", json!({})),
+                None => decisions::info("plan", "names_no_origin", json!({})),
             }
             freshness = Freshness::Current;
             tokio::time::sleep(PLAN_PAUSE).await;
@@ -118,7 +118,7 @@
         if kept.as_ref().is_some_and(|kept| kept.version >= plan.version) {
             return;
         }
-        decisions::note("plan", "read", json!({ "version": plan.version }));
+        decisions::info("plan", "read", json!({ "version": plan.version }));
         *kept = Some(plan);
     }
 
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -102,5 +102,5 @@
         "active": requests.active, "unconfirmed": view.entries.unconfirmed,
         "waiting": view.entries.waiting, "kept": view.entries.unresumable,
     });
-    decisions::note("engine", "emptied", fields);
+    decisions::info("engine", "emptied", fields);
 }
--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -23,7 +23,7 @@
     front, plan_sync, quarantine_keeper, server_sync,
     state::{EntryState, TopicGate},
 };
-use crate::{decisions, error::DaemonError, supervisor::keep_running};
+use crate::{decisions, error::DaemonError, supervisor::supervise};
 
 /// Time after a shutdown request during which callers may still be sent here: the load balancer
 /// probes once per second and needs two failed probes. A request that is accepted later than 3 s
@@ -60,7 +60,7 @@
     ) -> Result<Self, Report<DaemonError>> {
         let mut entry = Self::start(settings, store, headers).await?;
         let state = entry.state.clone();
-        entry.tasks.push(keep_running("quarantine_keeper", move || {
+        entry.tasks.push(supervise("quarantine_keeper", move || {
             quarantine_keeper::run(state.clone(), quarantines.clone())
         }));
         Ok(entry)
@@ -101,30 +101,30 @@
             tokio::spawn(plan_sync::serve(state.clone(), peer_listener)),
         ];
         let (state_told, socket) = (state.clone(), Arc::new(socket));
-        tasks.push(keep_running("notices", move || {
+        tasks.push(supervise("notices", move || {
             entry_notices::run(state_told.clone(), socket.clone())
         }));
         let state_planned = state.clone();
-        tasks.push(keep_running("plan_sync", move || plan_sync::run(state_planned.clone())));
+        tasks.push(supervise("plan_sync", move || plan_sync::run(state_planned.clone())));
         let state_served = state.clone();
-        tasks.push(keep_running("server_sync", move || server_sync::run(state_served.clone())));
+        tasks.push(supervise("server_sync", move || server_sync::run(state_served.clone())));
         if let Some(metrics) = metrics {
             let listener = front::bind(metrics).await?;
             tasks.push(tokio::spawn(front::serve_admin(state.clone(), listener)));
         }
         tasks.extend(follow_all(&state, &store));
-        decisions::note("life", "started", fields);
+        decisions::info("life", "started", fields);
         Ok(Self { state, address, admin, stop, front, tasks })
     }
 
     /// Shuts down gracefully: accepts no more connections once callers have been redirected, and
     /// waits for requests in progress.
     pub async fn leave(self) {
-        decisions::note("life", "stopping", json!({ "held": self.held() }));
+        decisions::info("life", "stopping", json!({ "held": self.held() }));
         self.state.stopping.store(true, Ordering::Relaxed);
         let grace = self.state.settings.node.drain.saturating_sub(GRACE_RESERVE);
         let ended = tokio::time::timeout(grace, self.drain()).await.is_ok();
-        decisions::note("life", "stopped", json!({ "in_time": ended, "held": self.held() }));
+        decisions::info("life", "stopped", json!({ "in_time": ended, "held": self.held() }));
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 
@@ -184,7 +184,7 @@
 impl TopicSubscription {
     fn follow(self, state: Arc<EntryState>, store: Arc<dyn FactStore>) -> JoinHandle<()> {
         let Self { topic, refresh, gate, apply } = self;
-        keep_running(topic.as_str(), move || {
+        supervise(topic.as_str(), move || {
             let state = state.clone();
             follow(store.clone(), topic, refresh.clone(), gate.clone(), move |update| {
                 apply(&state, update);
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -168,7 +168,7 @@
             None => NoticeReach::Members(usable),
         };
         if std::mem::discriminant(&reach) != std::mem::discriminant(&self.reach) {
-            decisions::note("peers", "reach", json!({ "reach": format!("{reach:?}") }));
+            decisions::info("peers", "reach", json!({ "reach": format!("{reach:?}") }));
         }
         self.reach = reach;
     }
@@ -316,7 +316,7 @@
     state.quarantine.merge_notices(state.now(), &notice.suspects);
     state.record_peer_servers_mark(notice.servers);
     if outcome.joined {
-        decisions::note("peers", "found", json!({ "peer": notice.from }));
+        decisions::info("peers", "found", json!({ "peer": notice.from }));
     }
     let Some(server) = notice.server.clone().filter(|_| outcome.server_changed) else {
         return false;
@@ -328,7 +328,7 @@
             "address": server.address, "whole": server.whole, "changing": changing,
             "staged": server.staged,
         });
-        decisions::note("servers", "agent_told", fields);
+        decisions::info("servers", "agent_told", fields);
     }
     state.servers().set_notice(server.address, Some(server));
     changing
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -106,7 +106,7 @@
         arrived: state.now(),
         predicted: None,
     };
-    exchange.count_step(RequestStep::Came);
+    exchange.count_step(RequestStep::Received);
     loop {
         let server = exchange.next_server().map_err(|cause| exchange.give_up(cause))?;
         let answer = match exchange.send(server, None).await {
@@ -159,7 +159,7 @@
             "answer_tokens": self.request.facts.answer_tokens,
             "more": fields,
         });
-        decisions::note("routing", event, fields);
+        decisions::info("routing", event, fields);
     }
 
     /// The regions in which this request may run, taken from its route in the current plan, which
@@ -440,7 +440,7 @@
     /// Records that a response was cut off after it began; the caller's connection is closed.
     pub fn record_cut(&self, cause: &'static str, fields: serde_json::Value) {
         self.state.metrics.count_request(RunVerdict::MayHaveRun);
-        self.count_step(RequestStep::Cut);
+        self.count_step(RequestStep::Truncated);
         let fields = json!({ "cause": cause, "limit": self.request.limit, "stream": fields });
         self.log("stream_cut", fields);
     }
--- a/crates/daemon/src/direct/facts.rs
+++ b/crates/daemon/src/direct/facts.rs
@@ -316,7 +316,7 @@
         let watched = tokio::select! {
             watched = self.watched(at, wait) => watched,
             () = self.nudge.notified() => {
-                decisions::note("store", "nudged", json!({ "topic": self.topic.as_str() }));
+                decisions::info("store", "nudged", json!({ "topic": self.topic.as_str() }));
                 return None;
             }
             () = outdated(&*self.gate, duty) => return None,
@@ -328,7 +328,7 @@
                 Some(changes)
             }
             Err(StoreFailure::HistoryGone) => {
-                decisions::note("store", "history_gone", json!({ "topic": self.topic.as_str() }));
+                decisions::info("store", "history_gone", json!({ "topic": self.topic.as_str() }));
                 None
             }
             Err(error) => {
@@ -370,7 +370,7 @@
             "topic": self.topic.as_str(), "open_ms": begun.elapsed().as_millis() as u64,
             "changes": changes.changes.len(), "at": changes.at.0,
         });
-        decisions::note("store", "watch_brought", fields);
+        decisions::info("store", "watch_brought", fields);
     }
 
     fn note_answered(&mut self) {
@@ -437,7 +437,7 @@
     fn end(self) {
         let lost_ms = self.since.elapsed().as_millis() as u64;
         let fields = json!({ "topic": self.topic.as_str(), "lost_ms": lost_ms });
-        decisions::note("store", "regained", fields);
+        decisions::info("store", "regained", fields);
     }
 }
 
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -121,7 +121,7 @@
                 "plan": state.plan_version(), "newest_told": age.newest_told().0,
                 "plan_age_ms": age.age(state.now()).map(|age| age.as_millis() as u64),
             });
-            decisions::note("admission", "denied", fields);
+            decisions::info("admission", "denied", fields);
             Err(given_up)
         }
     };
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -123,7 +123,7 @@
         drop(routes);
         self.source().take_from_peer(now, ChangeMark(version.0));
         self.taken.notify_waiters();
-        decisions::note("plan", "in_force", fields);
+        decisions::info("plan", "in_force", fields);
         true
     }
 
--- a/crates/daemon/src/direct/quarantine.rs
+++ b/crates/daemon/src/direct/quarantine.rs
@@ -163,7 +163,7 @@
                     return;
                 }
                 let fields = json!({ "content": content, "source": source });
-                decisions::note("quarantine", "cleared", fields);
+                decisions::info("quarantine", "cleared", fields);
                 if source != "peer" {
                     self.queue_write(QuarantineWrite::Lift(digest));
                 }
--- a/crates/daemon/src/direct/quarantine_keeper.rs
+++ b/crates/daemon/src/direct/quarantine_keeper.rs
@@ -44,7 +44,7 @@
         }
         tokio::time::sleep(RETRY_DELAY).await;
     };
-    decisions::note("quarantine", "read", json!({ "kept": kept.len() }));
+    decisions::info("quarantine", "read", json!({ "kept": kept.len() }));
     for KeptQuarantine { digest, until } in kept {
         let left = until.0.saturating_sub(unix_millis());
         match left {
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -182,7 +182,7 @@
         }
         let order = self.order.take().map(|order| order.version);
         let fields = json!({ "born": report.born, "ordered": order });
-        decisions::note("engine", "restarted", fields);
+        decisions::info("engine", "restarted", fields);
         for work in self.work.iter_mut().chain(&mut self.next_work) {
             work.stage.checked = None;
         }
@@ -271,7 +271,7 @@
                 "model": goal.model, "whole": goal.whole, "before": before,
                 "sequence": report.sequence.0,
             });
-            decisions::note("engine", "holds", fields);
+            decisions::info("engine", "holds", fields);
         }
         let order_open = self.order.is_some_and(|order| {
             order.answer == Some(OrderAnswer::Begun)
@@ -288,7 +288,7 @@
         if self.order.take().is_some() {
             let after = goal.elapsed.as_millis() as u64;
             let fields = json!({ "version": goal.version, "after_ms": after });
-            decisions::note("weights", "in_force", fields);
+            decisions::info("weights", "in_force", fields);
         }
     }
 
@@ -380,7 +380,7 @@
             "staged": work.stage.placed.iter().filter(|placed| **placed).count(),
             "next": is_next,
         });
-        decisions::note("weights", "begun", fields);
+        decisions::info("weights", "begun", fields);
         self.state.tell(|notice| notice.sharing = Some(version));
     }
 
@@ -435,7 +435,7 @@
             "origin_bytes": metrics.chunk_bytes("origin"),
             "peer_bytes": metrics.chunk_bytes("peer"), "sent_bytes": metrics.chunk_bytes("up"),
         });
-        decisions::note("weights", "progress", fields);
+        decisions::info("weights", "progress", fields);
     }
 
     /// Lays pieces into the stage.
@@ -457,7 +457,7 @@
             let version = work.pieces.version;
             let after = self.state.node.now().since(work.since).as_millis() as u64;
             let fields = json!({ "version": version, "after_ms": after });
-            decisions::note("weights", "staged", fields);
+            decisions::info("weights", "staged", fields);
             self.state.tell(|notice| notice.staged = Some(version));
         }
     }
@@ -502,7 +502,7 @@
             "version": goal.version, "fence": self.fence, "expected": sequence.0,
             "answer": format!("{answer:?}"),
         });
-        decisions::note("engine", "ordered", fields);
+        decisions::info("engine", "ordered", fields);
         let answer = answer.ok();
         self.order = Some(GivenOrder { version: goal.version, given, answer, expected: sequence });
     }
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -210,7 +210,7 @@
 
     /// Time during which the machine has been suspended since the start.
     pub fn suspended_time(&self) -> Duration {
-        self.clock.slept()
+        self.clock.suspended()
     }
 
     /// Rereads the store if the machine was suspended since the last call: the responses to open
@@ -342,7 +342,7 @@
             let Fact::Weights(wanted) = fact else { continue };
             if self.weights().learn(now, &wanted.model, wanted.version) {
                 let fields = json!({ "model": wanted.model, "version": wanted.version });
-                decisions::note("weights", "version_wanted", fields);
+                decisions::info("weights", "version_wanted", fields);
             }
         }
     }
@@ -356,7 +356,7 @@
                 let age_ms = one.age.as_millis() as u64;
                 let fields =
                     json!({ "model": one.model, "version": one.version, "age_ms": age_ms });
-                decisions::note("weights", "version_wanted", fields);
+                decisions::info("weights", "version_wanted", fields);
             }
         }
     }
@@ -370,7 +370,7 @@
     /// Rereads everything from the store, because this entry was disconnected or suspended and
     /// responses to its watches may have been lost.
     pub fn reread_store(&self) {
-        decisions::note("store", "read_anew", json!({}));
+        decisions::info("store", "read_anew", json!({}));
         self.plan_refresh.notify_one();
         self.servers_refresh.notify_one();
         self.weights_refresh.notify_one();
@@ -466,10 +466,10 @@
         let changed = servers.set_unreachable_domains(silent);
         drop(servers);
         if changed {
-            decisions::note("peers", "domains_out_of_reach", json!({ "domains": names }));
+            decisions::info("peers", "domains_out_of_reach", json!({ "domains": names }));
         }
         for peer in &gone {
-            decisions::note("peers", "lost", json!({ "peer": peer }));
+            decisions::info("peers", "lost", json!({ "peer": peer }));
         }
         self.notices_stale.swap(false, Ordering::Relaxed) || !gone.is_empty()
     }
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -50,7 +50,7 @@
             return;
         }
         let names: Vec<String> = reported.domains.iter().map(DomainKey::to_string).collect();
-        decisions::note(
+        decisions::info(
             "evacuations",
             "in_force",
             json!({ "domains": names, "at": reported.mark.0 }),
--- a/crates/daemon/src/direct/state/server_signals.rs
+++ b/crates/daemon/src/direct/state/server_signals.rs
@@ -44,7 +44,7 @@
         if self.servers().mark_draining(self.now(), server.life) {
             self.metrics.count_server_signal(DRAINING);
             let fields = json!({ "server": server.id, "life": server.life.to_string() });
-            decisions::note("servers", "draining_announced", fields);
+            decisions::info("servers", "draining_announced", fields);
         }
     }
 
@@ -54,7 +54,7 @@
         for life in lives {
             if self.servers().mark_draining(now, *life) {
                 let fields = json!({ "life": life.to_string() });
-                decisions::note("servers", "draining_learned", fields);
+                decisions::info("servers", "draining_learned", fields);
             }
         }
     }
@@ -71,7 +71,7 @@
         self.metrics.count_server_signal(RETRY_AFTER);
         self.servers().start_backoff(self.now(), server, backoff);
         let fields = json!({ "server": server.id, "backoff_ms": backoff.as_millis() as u64 });
-        decisions::note("servers", "backoff_requested", fields);
+        decisions::info("servers", "backoff_requested", fields);
     }
 
     fn record_limit(&self, server: &ChosenServer, sent: Moment, facts: &AnswerFacts) {
@@ -86,7 +86,7 @@
             self.metrics.count_server_signal(RATE_LIMIT);
             let life = server.life.to_string();
             let fields = json!({ "server": server.id, "life": life, "limit": limit });
-            decisions::note("servers", "rate_limit_changed", fields);
+            decisions::info("servers", "rate_limit_changed", fields);
         }
     }
 
@@ -106,7 +106,7 @@
             if self.servers().merge_limit(now, *notice) {
                 let (life, age_ms) = (notice.life.to_string(), notice.age.as_millis() as u64);
                 let fields = json!({ "life": life, "limit": notice.limit, "age_ms": age_ms });
-                decisions::note("servers", "rate_limit_learned", fields);
+                decisions::info("servers", "rate_limit_learned", fields);
             }
         }
     }
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -88,7 +88,7 @@
                 changes.set.iter().map(|marked| marked.record.id.clone()).collect();
             self.servers().retain_listed(self.now(), &listed, changes.covered);
             let fields = json!({ "servers": listed.len(), "at": changes.covered.0 });
-            decisions::note("servers", "listed", fields);
+            decisions::info("servers", "listed", fields);
         }
         // Only one entry of each failure domain logs the changes.
         let notes = self.peers().is_domain_reporter();
@@ -136,7 +136,7 @@
                     "server_key": notice.server, "revision": notice.revision.0,
                     "returned": notice.returned,
                 });
-                decisions::note("servers", "leaving_told", fields);
+                decisions::info("servers", "leaving_told", fields);
             }
         }
     }
@@ -149,7 +149,7 @@
                 "zone": record.zone, "draining": record.draining, "slots": record.slots,
                 "models": record.models, "cold_ms": record.cold_ms, "revision": revision.0,
             });
-            decisions::note("servers", "set", fields);
+            decisions::info("servers", "set", fields);
         }
         if !record.models.is_empty() {
             let machine = SocketAddr::new(record.address.ip(), self.settings.node.control.port());
@@ -161,7 +161,7 @@
 
     fn remove_server(&self, gone: &RemovedServer) {
         if self.servers().remove(self.now(), &gone.id, gone.revision) {
-            decisions::note("servers", "gone", json!({ "server": gone.id }));
+            decisions::info("servers", "gone", json!({ "server": gone.id }));
         }
     }
 }
--- a/crates/daemon/src/entry/gatekeeper.rs
+++ b/crates/daemon/src/entry/admission.rs
@@ -15,40 +15,45 @@
 use tokio::sync::oneshot;
 
 /// Share of an organisation that the fleet file no longer names.
-const NO_TERMS: OrganisationQuota = OrganisationQuota { share: 1, max_in_progress: None };
+const DEFAULT_QUOTA: OrganisationQuota = OrganisationQuota { share: 1, max_in_progress: None };
 
 #[derive(Debug)]
-struct GateState {
+struct AdmissionState {
     queue: FairQueue,
     limit: ConcurrencyLimit,
-    terms: HashMap<OrganisationName, OrganisationQuota>,
+    quotas: HashMap<OrganisationName, OrganisationQuota>,
     waiting: HashMap<RequestNumber, oneshot::Sender<Result<(), RefusalReason>>>,
-    last: u64,
+    last_number: u64,
 }
 
 /// The queue in front of an entry's dispatcher.
 #[derive(Debug)]
-pub struct RequestGate {
-    state: Mutex<GateState>,
+pub struct AdmissionController {
+    state: Mutex<AdmissionState>,
 }
 
 /// Leave for one request to go on; its place is given to another when this is dropped.
 #[derive(Debug)]
-pub struct EntryPermit {
-    gate: Arc<RequestGate>,
+pub struct AdmissionPermit {
+    admission: Arc<AdmissionController>,
     organisation: OrganisationName,
 }
 
-impl RequestGate {
+impl AdmissionController {
     /// A gate in front of `queue`, which lets as many requests run as `limit` says.
     pub fn new(queue: FairQueue, limit: ConcurrencyLimit) -> Arc<Self> {
-        let state =
-            GateState { queue, limit, terms: HashMap::new(), waiting: HashMap::new(), last: 0 };
+        let state = AdmissionState {
+            queue,
+            limit,
+            quotas: HashMap::new(),
+            waiting: HashMap::new(),
+            last_number: 0,
+        };
         Arc::new(Self { state: Mutex::new(state) })
     }
 
-    fn lock(&self) -> MutexGuard<'_, GateState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, AdmissionState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Requests that run and that wait.
@@ -57,21 +62,21 @@
     }
 
     /// Changes the most requests that may run.
-    pub fn set_most(&self, most_running: u32) {
+    pub fn set_max_running(&self, max_running: u32) {
         let mut state = self.lock();
-        state.limit.set_max(most_running);
+        state.limit.set_max(max_running);
         state.resize();
     }
 
     /// An endpoint took a request.
-    pub fn note_run(&self) {
+    pub fn record_accepted(&self) {
         let mut state = self.lock();
         state.limit.record_accepted();
         state.resize();
     }
 
     /// An endpoint was full.
-    pub fn note_busy(&self, now: Moment) {
+    pub fn record_busy(&self, now: Moment) {
         let mut state = self.lock();
         state.limit.record_busy(now);
         state.resize();
@@ -81,58 +86,59 @@
     pub fn expire(&self, now: Moment) {
         let mut state = self.lock();
         for number in state.queue.expire(now) {
-            state.tell(number, Err(RefusalReason::QueueTimeout));
+            state.resolve(number, Err(RefusalReason::QueueTimeout));
         }
     }
 
     /// Waits for a place.
-    pub async fn enter(
+    pub async fn admit(
         self: &Arc<Self>,
         now: Moment,
         organisation: &OrganisationName,
-        terms: OrganisationQuota,
-    ) -> Result<EntryPermit, RefusalReason> {
-        let (number, told) = {
+        quota: OrganisationQuota,
+    ) -> Result<AdmissionPermit, RefusalReason> {
+        let (number, receiver) = {
             let mut state = self.lock();
-            state.last += 1;
-            let number = RequestNumber(state.last);
-            state.terms.insert(organisation.clone(), terms);
-            match state.queue.admit(now, number, organisation, terms) {
+            state.last_number += 1;
+            let number = RequestNumber(state.last_number);
+            state.quotas.insert(organisation.clone(), quota);
+            match state.queue.admit(now, number, organisation, quota) {
                 Admission::Run => return Ok(self.permit(organisation)),
                 Admission::Refuse(reason) => return Err(reason),
                 Admission::Wait => {}
             }
-            let (sender, told) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             state.waiting.insert(number, sender);
-            (number, told)
+            (number, receiver)
         };
-        let mut place = WaitingPlace { gate: self, organisation, number, settled: false };
-        let answer = told.await;
-        place.settled = true;
-        drop(place);
+        let mut guard = QueueGuard { admission: self, organisation, number, done: false };
+        let answer = receiver.await;
+        guard.done = true;
+        drop(guard);
         answer.unwrap_or(Err(RefusalReason::QueueTimeout)).map(|()| self.permit(organisation))
     }
 
-    fn permit(self: &Arc<Self>, organisation: &OrganisationName) -> EntryPermit {
-        EntryPermit { gate: self.clone(), organisation: organisation.clone() }
+    fn permit(self: &Arc<Self>, organisation: &OrganisationName) -> AdmissionPermit {
+        AdmissionPermit { admission: self.clone(), organisation: organisation.clone() }
     }
 }
 
-impl GateState {
+impl AdmissionState {
     fn resize(&mut self) {
         self.queue.resize(self.limit.get());
         self.release();
     }
 
     fn release(&mut self) {
-        let terms = &self.terms;
-        let released = self.queue.dequeue(|name| terms.get(name).copied().unwrap_or(NO_TERMS));
+        let quotas = &self.quotas;
+        let released =
+            self.queue.dequeue(|name| quotas.get(name).copied().unwrap_or(DEFAULT_QUOTA));
         for number in released {
-            self.tell(number, Ok(()));
+            self.resolve(number, Ok(()));
         }
     }
 
-    fn tell(&mut self, number: RequestNumber, answer: Result<(), RefusalReason>) {
+    fn resolve(&mut self, number: RequestNumber, answer: Result<(), RefusalReason>) {
         if let Some(sender) = self.waiting.remove(&number) {
             // A caller that has gone away gives its place back by itself.
             let _ = sender.send(answer);
@@ -140,28 +146,28 @@
     }
 }
 
-impl Drop for EntryPermit {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        let mut state = self.gate.lock();
+        let mut state = self.admission.lock();
         state.queue.finish(&self.organisation);
         state.release();
     }
 }
 
 /// A place in the queue, given back if its caller goes away while it waits.
-struct WaitingPlace<'a> {
-    gate: &'a RequestGate,
+struct QueueGuard<'a> {
+    admission: &'a AdmissionController,
     organisation: &'a OrganisationName,
     number: RequestNumber,
-    settled: bool,
+    done: bool,
 }
 
-impl Drop for WaitingPlace<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.done {
             return;
         }
-        let mut state = self.gate.lock();
+        let mut state = self.admission.lock();
         if state.waiting.remove(&self.number).is_some() {
             state.queue.cancel(self.organisation, self.number);
         } else {
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -10,7 +10,7 @@
 use volo_http::{body::Body, response::Response};
 
 use super::{
-    dispatch::{DispatchFailure, NOTHING_SERVES_RETRY},
+    dispatch::{DispatchFailure, NOT_SERVING_RETRY_AFTER},
     openai::ApiError,
 };
 use crate::agent::serve::decode_headers;
@@ -25,7 +25,7 @@
 pub const VERDICT: HeaderName = HeaderName::from_static("x-headlatch-verdict");
 
 /// When callers that were refused for load are told to come back.
-const LOAD_RETRY: Duration = Duration::from_secs(1);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Adds the request's id and the verdict.
 pub fn stamp(response: &mut Response, id: &RequestId, verdict: RunVerdict) {
@@ -78,7 +78,7 @@
         code: Some("overloaded"),
         message: message.to_owned(),
     };
-    (error, Some(LOAD_RETRY))
+    (error, Some(OVERLOAD_RETRY_AFTER))
 }
 
 /// The error for a request that has no answer.
@@ -91,16 +91,16 @@
         message,
     };
     match failure {
-        DispatchFailure::NothingServes => {
+        DispatchFailure::NotServing => {
             let message = "No endpoint serves this at the moment. Try again later.".to_owned();
             let error = server(StatusCode::SERVICE_UNAVAILABLE, "not_serving", message);
-            (error, Some(NOTHING_SERVES_RETRY))
+            (error, Some(NOT_SERVING_RETRY_AFTER))
         }
         DispatchFailure::Busy => refusal(RefusalReason::QueueFull),
         DispatchFailure::KeyInProgress => {
             let message = "A request with this key is in progress. Ask again for its result.";
             let error = server(StatusCode::CONFLICT, "key_in_progress", message.to_owned());
-            (error, Some(LOAD_RETRY))
+            (error, Some(OVERLOAD_RETRY_AFTER))
         }
         DispatchFailure::KeySpent => {
             let message = "A request with this key has run, or may have run; this one did not.";
@@ -109,7 +109,7 @@
         DispatchFailure::Failed(failure) if failure.verdict == RunVerdict::NotRun => {
             let message = format!("The request did not run: {}. Try again later.", failure.message);
             let error = server(StatusCode::SERVICE_UNAVAILABLE, "not_run", message);
-            (error, Some(LOAD_RETRY))
+            (error, Some(OVERLOAD_RETRY_AFTER))
         }
         DispatchFailure::Failed(failure) => {
             let message = format!("The answer was lost; the request may have run: {failure}.");
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum AttemptStart {
     /// The endpoint answers.
-    Answer(Box<AnswerStream>),
+    Response(Box<ResponseStream>),
     /// The agent refused: the request did not run.
     Refused(RefusalCause, Option<LoadReport>),
     /// It failed.
@@ -31,14 +31,14 @@
 }
 
 impl AttemptFailure {
-    fn unsure(message: impl Into<String>) -> Self {
+    fn may_have_run(message: impl Into<String>) -> Self {
         Self { verdict: RunVerdict::MayHaveRun, message: message.into() }
     }
 }
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct AnswerStream {
+pub struct ResponseStream {
     /// The head.
     pub head: Head,
     /// How busy the endpoint is.
@@ -48,16 +48,16 @@
 
 /// The next part of an answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum AnswerPart {
+pub enum ResponsePart {
     /// Bytes of the body.
     Data(Bytes),
     /// The whole answer has come.
     End,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     /// The next part; an answer that breaks off or has gaps is a failure.
-    pub async fn next(&mut self) -> Result<AnswerPart, AttemptFailure> {
+    pub async fn next(&mut self) -> Result<ResponsePart, AttemptFailure> {
         self.reader.next_part().await
     }
 }
@@ -69,8 +69,8 @@
     request: ServeRequest,
 ) -> AttemptStart {
     let request_id = request.request_id.clone();
-    let answered = channels.endpoint(address).serve(request).await;
-    let stream = match answered {
+    let result = channels.endpoint(address).serve(request).await;
+    let stream = match result {
         Ok(response) => response.into_inner(),
         Err(status) => return AttemptStart::Failed(read_status(&status)),
     };
@@ -80,13 +80,13 @@
             AttemptStart::Refused(refused.cause(), load)
         }
         Ok(ServeFrame { part: Some(Part::Head(head)), load, .. }) => {
-            AttemptStart::Answer(Box::new(AnswerStream { head, load, reader }))
+            AttemptStart::Response(Box::new(ResponseStream { head, load, reader }))
         }
         Ok(ServeFrame { part: Some(Part::End(end)), .. }) => {
             let verdict = codec::decode_verdict(end.verdict());
             AttemptStart::Failed(AttemptFailure { verdict, message: end.error })
         }
-        Ok(_) => AttemptStart::Failed(AttemptFailure::unsure("the answer has no head")),
+        Ok(_) => AttemptStart::Failed(AttemptFailure::may_have_run("the answer has no head")),
         Err(failure) => AttemptStart::Failed(failure),
     }
 }
@@ -104,37 +104,37 @@
     async fn next_frame(&mut self) -> Result<ServeFrame, AttemptFailure> {
         let frame = match self.stream.message().await {
             Ok(Some(frame)) => frame,
-            Ok(None) => return Err(AttemptFailure::unsure("the answer has no end")),
-            Err(status) => return Err(AttemptFailure::unsure(status.message())),
+            Ok(None) => return Err(AttemptFailure::may_have_run("the answer has no end")),
+            Err(status) => return Err(AttemptFailure::may_have_run(status.message())),
         };
         if frame.request_id != self.request_id {
-            return Err(AttemptFailure::unsure("the answer belongs to another request"));
+            return Err(AttemptFailure::may_have_run("the answer belongs to another request"));
         }
         if frame.sequence != self.sequence {
-            return Err(AttemptFailure::unsure("the answer has a gap"));
+            return Err(AttemptFailure::may_have_run("the answer has a gap"));
         }
         self.sequence += 1;
         Ok(frame)
     }
 
-    async fn next_part(&mut self) -> Result<AnswerPart, AttemptFailure> {
+    async fn next_part(&mut self) -> Result<ResponsePart, AttemptFailure> {
         match self.next_frame().await?.part {
             Some(Part::Data(data)) => {
                 self.body_bytes += data.body.len() as u64;
-                Ok(AnswerPart::Data(data.body))
+                Ok(ResponsePart::Data(data.body))
             }
             Some(Part::End(end)) if end.verdict() == headlatch_wire::Verdict::Ran => {
                 if end.body_bytes == self.body_bytes {
-                    Ok(AnswerPart::End)
+                    Ok(ResponsePart::End)
                 } else {
-                    Err(AttemptFailure::unsure("the answer is shorter than it should be"))
+                    Err(AttemptFailure::may_have_run("the answer is shorter than it should be"))
                 }
             }
             Some(Part::End(end)) => {
                 // Its head has come, so that the endpoint did begin.
-                Err(AttemptFailure::unsure(end.error))
+                Err(AttemptFailure::may_have_run(end.error))
             }
-            _ => Err(AttemptFailure::unsure("the answer is out of order")),
+            _ => Err(AttemptFailure::may_have_run("the answer is out of order")),
         }
     }
 }
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -37,11 +37,11 @@
 };
 
 use super::{
+    admission::{AdmissionController, AdmissionPermit},
     answer,
-    attempt::AnswerPart,
+    attempt::ResponsePart,
     directory::{EndpointDirectory, RequestTarget},
-    dispatch::{BegunAnswer, DispatchRequest, RequestDispatcher},
-    gatekeeper::{EntryPermit, RequestGate},
+    dispatch::{ActiveResponse, DispatchRequest, RequestDispatcher},
     openai::{self, ApiError, CompletionKind},
 };
 use crate::{
@@ -51,37 +51,37 @@
 };
 
 /// Header with a caller's own key for a call that must run once.
-const ONCE_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Longest such key, in bytes.
-const MOST_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// Organisation of callers where the fleet file names no keys.
-const ANYONE: &str = "anyone";
+const ANONYMOUS: &str = "anyone";
 
 /// How often queues are looked after.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests an entry lets run, in percent of its part of all slots: some slack, since entries
 /// share endpoints unevenly from moment to moment and agents refuse what is too much.
-const SLACK_PERCENT: u32 = 150;
+const OVERCOMMIT_PERCENT: u32 = 150;
 
 /// Requests an entry lets run however few slots there are.
-const LEAST_RUNNING: u32 = 4;
+const MIN_RUNNING: u32 = 4;
 
 /// Takes requests in.
 #[derive(Debug, Clone)]
-pub struct CallerDesk {
+pub struct CallerApi {
     node: Arc<NodeContext>,
     directory: Arc<EndpointDirectory>,
     dispatcher: Arc<RequestDispatcher>,
-    gate: Arc<RequestGate>,
+    admission: Arc<AdmissionController>,
     limits: CallerLimits,
     last_request: Arc<AtomicU64>,
 }
 
 /// One request that has been read.
-struct TakenRequest {
+struct ReceivedRequest {
     id: RequestId,
     span: HopSpan,
     config: Arc<FleetConfig>,
@@ -91,7 +91,7 @@
     body: Bytes,
 }
 
-impl CallerDesk {
+impl CallerApi {
     /// A desk with `limits`.
     pub fn new(
         node: Arc<NodeContext>,
@@ -99,11 +99,12 @@
         limits: CallerLimits,
     ) -> Self {
         let wait = Duration::from_millis(limits.queue_ms);
-        let queue = FairQueue::new(LEAST_RUNNING, limits.requests as usize, wait);
-        let gate = RequestGate::new(queue, ConcurrencyLimit::new(LEAST_RUNNING, LEAST_RUNNING));
+        let queue = FairQueue::new(MIN_RUNNING, limits.requests as usize, wait);
+        let admission =
+            AdmissionController::new(queue, ConcurrencyLimit::new(MIN_RUNNING, MIN_RUNNING));
         let dispatcher =
-            Arc::new(RequestDispatcher::new(node.clone(), directory.clone(), gate.clone()));
-        Self { node, directory, dispatcher, gate, limits, last_request: Arc::default() }
+            Arc::new(RequestDispatcher::new(node.clone(), directory.clone(), admission.clone()));
+        Self { node, directory, dispatcher, admission, limits, last_request: Arc::default() }
     }
 
     /// The routes for callers.
@@ -113,32 +114,32 @@
             .route(
                 CompletionKind::Text.path(),
                 post(move |request: Request| async move {
-                    text.answer_completion(CompletionKind::Text, request).await
+                    text.handle_completion(CompletionKind::Text, request).await
                 }),
             )
             .route(
                 CompletionKind::Chat.path(),
                 post(move |request: Request| async move {
-                    chat.answer_completion(CompletionKind::Chat, request).await
+                    chat.handle_completion(CompletionKind::Chat, request).await
                 }),
             )
-            .route("/v1/models", get(move || async move { list.answer_models() }))
-            .fallback(move |request: Request| async move { rest.answer_service(request).await })
+            .route("/v1/models", get(move || async move { list.list_models() }))
+            .fallback(move |request: Request| async move { rest.handle_service(request).await })
     }
 
     /// Looks after queues until the stop.
     pub async fn run(self, mut signal: StopSignal) {
-        let mut ticks = self.node.timer.subscribe(LOOK_PAUSE);
+        let mut ticks = self.node.timer.subscribe(EXPIRE_INTERVAL);
         loop {
             let now = tokio::select! {
                 tick = ticks.next() => match tick { Some(now) => now, None => return },
                 () = signal.stopped() => return,
             };
-            self.gate.expire(now);
+            self.admission.expire(now);
             let (slots, entries) = self.directory.capacity();
-            let part = slots * SLACK_PERCENT / 100 / entries;
-            self.gate.set_most(part.clamp(LEAST_RUNNING, self.limits.requests));
-            self.node.metrics.set_in_progress(self.gate.counts().0 as usize);
+            let share = slots * OVERCOMMIT_PERCENT / 100 / entries;
+            self.admission.set_max_running(share.clamp(MIN_RUNNING, self.limits.requests));
+            self.node.metrics.set_in_progress(self.admission.counts().0 as usize);
         }
     }
 
@@ -151,31 +152,31 @@
         id.parse().or_else(|_| short().parse()).expect("hexadecimal digits make a name")
     }
 
-    fn answer_models(&self) -> Response {
+    fn list_models(&self) -> Response {
         let config = self.node.config();
-        let models = self.directory.served(&config.plan.models);
+        let models = self.directory.served_models(&config.plan.models);
         let mut response = answer::json(StatusCode::OK, &openai::model_list(&models));
         answer::stamp(&mut response, &self.new_id(), RunVerdict::Ran);
         response
     }
 
-    async fn answer_completion(&self, kind: CompletionKind, request: Request) -> Response {
-        let taken = match self.take(request).await {
-            Ok(taken) => taken,
+    async fn handle_completion(&self, kind: CompletionKind, request: Request) -> Response {
+        let received = match self.receive(request).await {
+            Ok(received) => received,
             Err(response) => return response,
         };
-        let id = taken.id.clone();
-        let answered = self.complete(kind, taken).await;
+        let id = received.id.clone();
+        let answered = self.complete(kind, received).await;
         self.finish(&id, answered)
     }
 
-    async fn answer_service(&self, request: Request) -> Response {
-        let taken = match self.take(request).await {
-            Ok(taken) => taken,
+    async fn handle_service(&self, request: Request) -> Response {
+        let received = match self.receive(request).await {
+            Ok(received) => received,
             Err(response) => return response,
         };
-        let id = taken.id.clone();
-        let answered = self.pass_on(taken).await;
+        let id = received.id.clone();
+        let answered = self.proxy_to_service(received).await;
         self.finish(&id, answered)
     }
 
@@ -192,7 +193,7 @@
     }
 
     /// Reads a request, within the limits.
-    async fn take(&self, request: Request) -> Result<TakenRequest, Response> {
+    async fn receive(&self, request: Request) -> Result<ReceivedRequest, Response> {
         let id = self.new_id();
         let (parts, body) = request.into_parts();
         let traceparent = parts.headers.get(TRACEPARENT).and_then(|value| value.to_str().ok());
@@ -201,7 +202,7 @@
         let time = Duration::from_secs(self.limits.body_seconds);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         match read_body(body, self.limits.body, time).await {
-            Ok(body) => Ok(TakenRequest {
+            Ok(body) => Ok(ReceivedRequest {
                 id,
                 span,
                 config: self.node.config(),
@@ -210,25 +211,25 @@
                 headers: parts.headers,
                 body,
             }),
-            Err(error) => Err(self.finish(&id, Err(read_refusal(error)))),
+            Err(error) => Err(self.finish(&id, Err(body_refusal(error)))),
         }
     }
 
     async fn complete(
         &self,
         kind: CompletionKind,
-        taken: TakenRequest,
+        received: ReceivedRequest,
     ) -> Result<Response, Refusal> {
-        let call = openai::read_call(kind, &taken.body)?;
-        let organisation = identify(&taken.config.plan, &taken.headers)?;
-        let model = taken.config.plan.model_for(&call.model);
-        let model = model.ok_or_else(|| ApiError::no_model(&call.model))?;
-        let permit = self.enter(&organisation).await?;
+        let call = openai::read_call(kind, &received.body)?;
+        let organisation = identify(&received.config.plan, &received.headers)?;
+        let model = received.config.plan.model_for(&call.model);
+        let model = model.ok_or_else(|| ApiError::model_not_found(&call.model))?;
+        let permit = self.admit(&organisation).await?;
         let message = ServeRequest {
             model: call.model.clone(),
             path: kind.path().to_owned(),
             repeatable: true,
-            ..self.message(&taken, &organisation)
+            ..self.message(&received, &organisation)
         };
         let request = DispatchRequest {
             target: RequestTarget::Model(model.name.clone()),
@@ -238,26 +239,26 @@
             deadline: self.node.now() + Duration::from_secs(self.limits.request_seconds),
         };
         if call.stream {
-            self.answer_stream(taken, request, permit).await
+            self.respond_stream(received, request, permit).await
         } else {
-            self.answer_whole(taken, request, permit).await
+            self.respond_buffered(received, request, permit).await
         }
     }
 
-    async fn pass_on(&self, taken: TakenRequest) -> Result<Response, Refusal> {
-        let config = taken.config.clone();
-        let (service, rest) = find_service(&config.plan, &taken.path_and_query)?;
-        let organisation = identify(&config.plan, &taken.headers)?;
+    async fn proxy_to_service(&self, received: ReceivedRequest) -> Result<Response, Refusal> {
+        let config = received.config.clone();
+        let (service, rest) = find_service(&config.plan, &received.path_and_query)?;
+        let organisation = identify(&config.plan, &received.headers)?;
         let path = rest.split('?').next().unwrap_or(rest);
-        let repeatability = service.repeatability(taken.method.as_str(), path);
-        let once_key = once_key(repeatability, service, &taken.headers)?;
-        let permit = self.enter(&organisation).await?;
+        let repeatability = service.repeatability(received.method.as_str(), path);
+        let once_key = idempotency_key(repeatability, service, &received.headers)?;
+        let permit = self.admit(&organisation).await?;
         let message = ServeRequest {
             service: service.name.to_string(),
             path: if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") },
             repeatable: repeatability == Repeatability::Repeatable,
             once_key,
-            ..self.message(&taken, &organisation)
+            ..self.message(&received, &organisation)
         };
         let request = DispatchRequest {
             target: RequestTarget::Service(service.name.clone()),
@@ -266,81 +267,81 @@
             affinity: None,
             deadline: self.node.now() + Duration::from_secs(self.limits.request_seconds),
         };
-        self.answer_whole(taken, request, permit).await
+        self.respond_buffered(received, request, permit).await
     }
 
-    fn message(&self, taken: &TakenRequest, organisation: &OrganisationPlan) -> ServeRequest {
-        let mut headers = taken.headers.clone();
+    fn message(&self, received: &ReceivedRequest, organisation: &OrganisationPlan) -> ServeRequest {
+        let mut headers = received.headers.clone();
         // The key is the caller's secret, and the context goes on with a span of our own.
         headers.remove(header::AUTHORIZATION);
         headers.remove(TRACEPARENT);
         ServeRequest {
-            request_id: taken.id.to_string(),
-            traceparent: taken.span.traceparent(),
-            method: taken.method.to_string(),
+            request_id: received.id.to_string(),
+            traceparent: received.span.traceparent(),
+            method: received.method.to_string(),
             headers: encode_headers(&headers),
-            body: taken.body.clone(),
+            body: received.body.clone(),
             priority: organisation.priority,
             ..ServeRequest::default()
         }
     }
 
-    async fn enter(&self, organisation: &OrganisationPlan) -> Result<EntryPermit, Refusal> {
-        let terms = OrganisationQuota {
+    async fn admit(&self, organisation: &OrganisationPlan) -> Result<AdmissionPermit, Refusal> {
+        let quota = OrganisationQuota {
             share: organisation.share,
             max_in_progress: organisation.most_in_progress,
         };
-        let entered = self.gate.enter(self.node.now(), &organisation.name, terms).await;
+        let entered = self.admission.admit(self.node.now(), &organisation.name, quota).await;
         entered.map_err(|reason| {
             let (error, retry) = answer::refusal(reason);
             Refusal { error, retry, verdict: RunVerdict::NotRun }
         })
     }
 
-    async fn answer_whole(
+    async fn respond_buffered(
         &self,
-        taken: TakenRequest,
+        received: ReceivedRequest,
         request: DispatchRequest,
-        permit: EntryPermit,
+        permit: AdmissionPermit,
     ) -> Result<Response, Refusal> {
-        let begun = self.node.now();
+        let started = self.node.now();
         let answered = self.dispatcher.complete(&request).await;
         drop(permit);
         let (head, body) = answered.map_err(|failure| Refusal::from_failure(&failure))?;
-        let seconds = self.node.now().since(begun).as_secs_f64();
+        let seconds = self.node.now().since(started).as_secs_f64();
         self.node.metrics.observe_first_byte("whole", seconds);
         self.node.metrics.count_request(RunVerdict::Ran);
         let mut response = answer::from_head(&head, Body::from(body));
-        answer::stamp(&mut response, &taken.id, RunVerdict::Ran);
+        answer::stamp(&mut response, &received.id, RunVerdict::Ran);
         Ok(response)
     }
 
-    async fn answer_stream(
+    async fn respond_stream(
         &self,
-        taken: TakenRequest,
+        received: ReceivedRequest,
         request: DispatchRequest,
-        permit: EntryPermit,
+        permit: AdmissionPermit,
     ) -> Result<Response, Refusal> {
-        let begun = self.node.now();
+        let started = self.node.now();
         let answered = self.dispatcher.begin(&request).await;
         let answer = answered.map_err(|failure| Refusal::from_failure(&failure))?;
         let head = answer.stream.head.clone();
-        let seconds = self.node.now().since(begun).as_secs_f64();
+        let seconds = self.node.now().since(started).as_secs_f64();
         self.node.metrics.observe_first_byte("stream", seconds);
         let stream =
-            CallerStream { desk: self.clone(), answer, id: taken.id.clone(), _permit: permit };
+            CallerStream { api: self.clone(), answer, id: received.id.clone(), _permit: permit };
         let mut response = answer::from_head(&head, stream.body());
-        answer::stamp(&mut response, &taken.id, RunVerdict::MayHaveRun);
+        answer::stamp(&mut response, &received.id, RunVerdict::MayHaveRun);
         Ok(response)
     }
 }
 
 /// A stream on its way to its caller.
 struct CallerStream {
-    desk: CallerDesk,
-    answer: BegunAnswer,
+    api: CallerApi,
+    answer: ActiveResponse,
     id: RequestId,
-    _permit: EntryPermit,
+    _permit: AdmissionPermit,
 }
 
 impl CallerStream {
@@ -348,15 +349,15 @@
         Body::from_stream(async_stream::stream! {
             loop {
                 match self.answer.next().await {
-                    Ok(AnswerPart::Data(data)) => yield Ok::<_, BoxError>(Frame::data(data)),
-                    Ok(AnswerPart::End) => {
-                        self.desk.node.metrics.count_request(RunVerdict::Ran);
+                    Ok(ResponsePart::Data(data)) => yield Ok::<_, BoxError>(Frame::data(data)),
+                    Ok(ResponsePart::End) => {
+                        self.api.node.metrics.count_request(RunVerdict::Ran);
                         yield Ok(Frame::data(answer::verdict_comment(RunVerdict::Ran)));
                         return;
                     }
                     Err(failure) => {
                         log::warn!("caller: {} broke off, {failure}", self.id);
-                        self.desk.node.metrics.count_request(RunVerdict::MayHaveRun);
+                        self.api.node.metrics.count_request(RunVerdict::MayHaveRun);
                         yield Ok(Frame::data(answer::error_event(&failure.message)));
                         yield Ok(Frame::data(answer::verdict_comment(RunVerdict::MayHaveRun)));
                         return;
@@ -388,7 +389,7 @@
     }
 }
 
-fn read_refusal(error: BodyError) -> Refusal {
+fn body_refusal(error: BodyError) -> Refusal {
     let (status, message) = match error {
         BodyError::TooLong => {
             (StatusCode::PAYLOAD_TOO_LARGE, "The body is longer than this entry takes.")
@@ -396,16 +397,16 @@
         BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "The body did not come in time."),
         BodyError::Broken => (StatusCode::BAD_REQUEST, "The body broke off."),
     };
-    let mut refused = ApiError::invalid(None, message);
-    refused.status = status;
-    refused.into()
+    let mut api_error = ApiError::invalid(None, message);
+    api_error.status = status;
+    api_error.into()
 }
 
 /// The organisation of a caller, by its bearer key; where the file names no keys, anyone.
 fn identify(plan: &FleetPlan, headers: &HeaderMap) -> Result<OrganisationPlan, ApiError> {
     let keyed = plan.organisations.iter().any(|one| !one.key_digests.is_empty());
     if !keyed {
-        let name: OrganisationName = ANYONE.parse().expect("a plain word is a name");
+        let name: OrganisationName = ANONYMOUS.parse().expect("a plain word is a name");
         let named = plan.organisations.first().cloned();
         return Ok(named.unwrap_or(OrganisationPlan {
             name,
@@ -448,15 +449,15 @@
 }
 
 /// The caller's key of a call that must run once, together with its service.
-fn once_key(
+fn idempotency_key(
     repeatability: Repeatability,
     service: &ServicePlan,
     headers: &HeaderMap,
 ) -> Result<String, ApiError> {
-    let Some(value) = headers.get(ONCE_KEY) else { return Ok(String::new()) };
-    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MOST_KEY);
+    let Some(value) = headers.get(IDEMPOTENCY_KEY) else { return Ok(String::new()) };
+    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or_else(|| {
-        let message = format!("`Idempotency-Key` must be 1 to {MOST_KEY} plain characters.");
+        let message = format!("`Idempotency-Key` must be 1 to {MAX_KEY_BYTES} plain characters.");
         ApiError::invalid(None, message)
     })?;
     if repeatability == Repeatability::Repeatable {
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -22,10 +22,10 @@
 
 /// Sets of one model that are remembered, so that boxes on an older version still get requests
 /// while versions change.
-const REMEMBERED_SETS: usize = 4;
+const MAX_SETS_PER_MODEL: usize = 4;
 
 /// How often endpoints that are gone are forgotten.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a request is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,12 +55,12 @@
 
     /// The picker.
     pub fn picker(&self) -> MutexGuard<'_, EndpointPicker> {
-        self.picker.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.picker.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Follows configuration and membership until the stop.
     pub async fn run(self: Arc<Self>, ready: ReadyFlag, mut signal: StopSignal) {
-        let mut ticks = self.node.timer.subscribe(LOOK_PAUSE);
+        let mut ticks = self.node.timer.subscribe(REFRESH_INTERVAL);
         let mut changes = self.node.watch_config();
         loop {
             tokio::select! {
@@ -68,36 +68,36 @@
                 changed = changes.changed() => if changed.is_err() { return },
                 () = signal.stopped() => return,
             }
-            self.remember_sets();
-            self.forget_gone();
+            self.update_known_sets();
+            self.remove_departed();
             let leaving = self.node.table().own().leaving;
             ready.set(self.node.config().revision.number() > 0 && !leaving);
         }
     }
 
-    fn remember_sets(&self) {
+    fn update_known_sets(&self) {
         let config = self.node.config();
-        let mut sets = self.sets.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut sets = self.sets.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         for model in &config.plan.models {
             let known = sets.entry(model.name.clone()).or_default();
             let key = model.set_key();
             if known.front() != Some(&key) {
                 known.retain(|other| *other != key);
                 known.push_front(key);
-                known.truncate(REMEMBERED_SETS);
+                known.truncate(MAX_SETS_PER_MODEL);
             }
         }
         sets.retain(|name, _| config.plan.models.iter().any(|model| model.name == *name));
     }
 
-    fn forget_gone(&self) {
+    fn remove_departed(&self) {
         let now = self.node.now();
-        let living: Vec<(BoxId, SocketAddr)> = {
+        let alive: Vec<(BoxId, SocketAddr)> = {
             let table = self.node.table();
             table.alive_nodes(now).map(|record| (record.id.clone(), record.control)).collect()
         };
-        self.picker().retain(|id| living.iter().any(|(other, _)| other == id));
-        self.node.channels.retain(|address| living.iter().any(|(_, other)| other == address));
+        self.picker().retain(|id| alive.iter().any(|(other, _)| other == id));
+        self.node.channels.retain(|address| alive.iter().any(|(_, other)| other == address));
     }
 
     /// Endpoints that can answer a request for `target`, with their addresses.
@@ -120,7 +120,7 @@
     }
 
     fn sets_of(&self, name: &ModelName) -> Vec<SetKey> {
-        let sets = self.sets.lock().unwrap_or_else(|broken| broken.into_inner());
+        let sets = self.sets.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         sets.get(name).map(|known| known.iter().copied().collect()).unwrap_or_default()
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// The models that some endpoint serves now.
-    pub fn served<'a>(&self, models: &'a [ModelPlan]) -> Vec<&'a ModelPlan> {
+    pub fn served_models<'a>(&self, models: &'a [ModelPlan]) -> Vec<&'a ModelPlan> {
         let serves = |model: &&ModelPlan| {
             !self.candidates(&RequestTarget::Model(model.name.clone())).is_empty()
         };
--- a/crates/daemon/src/entry/dispatch.rs
+++ b/crates/daemon/src/entry/dispatch.rs
@@ -15,20 +15,20 @@
 use headlatch_wire::{Head, RefusalCause, ServeRequest};
 
 use super::{
-    attempt::{self, AnswerPart, AnswerStream, AttemptFailure, AttemptStart},
+    admission::AdmissionController,
+    attempt::{self, AttemptFailure, AttemptStart, ResponsePart, ResponseStream},
     directory::{EndpointDirectory, RequestTarget},
-    gatekeeper::RequestGate,
 };
 use crate::node::NodeContext;
 
 /// Attempts of one request.
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Largest answer that is kept until it is whole.
-const MOST_WHOLE_ANSWER: usize = 64 << 20;
+const MAX_BUFFERED_RESPONSE: usize = 64 << 20;
 
 /// When callers are told to come back if nothing can serve them.
-pub const NOTHING_SERVES_RETRY: Duration = Duration::from_secs(1);
+pub const NOT_SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request on its way to an endpoint.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
 pub enum DispatchFailure {
     /// No endpoint serves what it is for; it did not run.
     #[error("no endpoint serves this at the moment")]
-    NothingServes,
+    NotServing,
     /// Every endpoint is busy; it did not run.
     #[error("every endpoint is busy")]
     Busy,
@@ -77,9 +77,9 @@
 
 /// An answer on its way, with the endpoint it comes from.
 #[derive(Debug)]
-pub struct BegunAnswer {
+pub struct ActiveResponse {
     /// The answer.
-    pub stream: AnswerStream,
+    pub stream: ResponseStream,
     tracker: AttemptTracker,
 }
 
@@ -97,13 +97,15 @@
     }
 }
 
-impl BegunAnswer {
+impl ActiveResponse {
     /// The next part of the answer.
-    pub async fn next(&mut self) -> Result<AnswerPart, AttemptFailure> {
+    pub async fn next(&mut self) -> Result<ResponsePart, AttemptFailure> {
         let part = self.stream.next().await;
         match &part {
-            Ok(AnswerPart::End) => self.tracker.directory.picker().record_success(&self.tracker.id),
-            Ok(AnswerPart::Data(_)) => {}
+            Ok(ResponsePart::End) => {
+                self.tracker.directory.picker().record_success(&self.tracker.id)
+            }
+            Ok(ResponsePart::Data(_)) => {}
             Err(_) => {
                 let now = self.tracker.node.now();
                 self.tracker.directory.picker().record_failure(now, &self.tracker.id);
@@ -118,7 +120,7 @@
 pub struct RequestDispatcher {
     node: Arc<NodeContext>,
     directory: Arc<EndpointDirectory>,
-    gate: Arc<RequestGate>,
+    admission: Arc<AdmissionController>,
     budget: Mutex<RetryBudget>,
 }
 
@@ -127,22 +129,25 @@
     pub fn new(
         node: Arc<NodeContext>,
         directory: Arc<EndpointDirectory>,
-        gate: Arc<RequestGate>,
+        admission: Arc<AdmissionController>,
     ) -> Self {
         let budget = Mutex::new(RetryBudget::new(node.now()));
-        Self { node, directory, gate, budget }
+        Self { node, directory, admission, budget }
     }
 
     /// Tries endpoints until one begins to answer.
-    pub async fn begin(&self, request: &DispatchRequest) -> Result<BegunAnswer, DispatchFailure> {
-        let mut tries = TryLog::default();
+    pub async fn begin(
+        &self,
+        request: &DispatchRequest,
+    ) -> Result<ActiveResponse, DispatchFailure> {
+        let mut history = AttemptHistory::default();
         self.budget().deposit(self.node.now());
         loop {
-            let failure = match self.try_once(request, &mut tries).await {
-                Ok(begun) => return Ok(begun),
+            let failure = match self.attempt_once(request, &mut history).await {
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            self.allow_retry(request, failure, &mut tries)?;
+            self.allow_retry(request, failure, &mut history)?;
         }
     }
 
@@ -151,17 +156,17 @@
         &self,
         request: &DispatchRequest,
     ) -> Result<(Head, Bytes), DispatchFailure> {
-        let mut tries = TryLog::default();
+        let mut history = AttemptHistory::default();
         self.budget().deposit(self.node.now());
         loop {
-            let failure = match self.try_once(request, &mut tries).await {
-                Ok(begun) => match collect(begun).await {
+            let failure = match self.attempt_once(request, &mut history).await {
+                Ok(response) => match collect(response).await {
                     Ok(answer) => return Ok(answer),
                     Err(failure) => DispatchFailure::Failed(failure),
                 },
                 Err(failure) => failure,
             };
-            self.allow_retry(request, failure, &mut tries)?;
+            self.allow_retry(request, failure, &mut history)?;
         }
     }
 
@@ -170,55 +175,55 @@
         &self,
         request: &DispatchRequest,
         failure: DispatchFailure,
-        tries: &mut TryLog,
+        history: &mut AttemptHistory,
     ) -> Result<(), DispatchFailure> {
-        if !self.may_retry(request, &failure, tries) {
-            return Err(tries.conclude(failure));
+        if !self.may_retry(request, &failure, history) {
+            return Err(history.final_failure(failure));
         }
-        tries.note(&failure);
+        history.record(&failure);
         log::debug!("dispatch: {} is tried again, {failure}", request.message.request_id);
         Ok(())
     }
 
     fn budget(&self) -> std::sync::MutexGuard<'_, RetryBudget> {
-        self.budget.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.budget.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn may_retry(
         &self,
         request: &DispatchRequest,
         failure: &DispatchFailure,
-        tries: &TryLog,
+        history: &AttemptHistory,
     ) -> bool {
-        let settled = matches!(
+        let terminal = matches!(
             failure,
-            DispatchFailure::NothingServes
+            DispatchFailure::NotServing
                 | DispatchFailure::KeyInProgress
                 | DispatchFailure::KeySpent
         );
-        if settled || tries.attempts >= MOST_ATTEMPTS || self.node.now() >= request.deadline {
+        if terminal || history.attempts >= MAX_ATTEMPTS || self.node.now() >= request.deadline {
             return false;
         }
         RetryPermit::after(failure.verdict(), request.repeatability).is_some()
             && self.budget().try_withdraw(self.node.now())
     }
 
-    async fn try_once(
+    async fn attempt_once(
         &self,
         request: &DispatchRequest,
-        tries: &mut TryLog,
-    ) -> Result<BegunAnswer, DispatchFailure> {
+        history: &mut AttemptHistory,
+    ) -> Result<ActiveResponse, DispatchFailure> {
         let candidates = self.directory.candidates(&request.target);
-        let plain: Vec<Candidate> = candidates.iter().map(|(one, _)| one.clone()).collect();
-        let id = self.choose(request, &plain, tries);
-        let id = id.ok_or_else(|| tries.last.take().unwrap_or(DispatchFailure::NothingServes))?;
+        let endpoints: Vec<Candidate> = candidates.iter().map(|(one, _)| one.clone()).collect();
+        let id = self.choose(request, &endpoints, history);
+        let id = id.ok_or_else(|| history.last.take().unwrap_or(DispatchFailure::NotServing))?;
         let found = candidates.into_iter().find(|(one, _)| one.id == id);
-        let (_, address) = found.ok_or(DispatchFailure::NothingServes)?;
-        tries.attempts += 1;
-        tries.tried.push(id.clone());
+        let (_, address) = found.ok_or(DispatchFailure::NotServing)?;
+        history.attempts += 1;
+        history.tried.push(id.clone());
         let now = self.node.now();
         let message = ServeRequest {
-            attempt: tries.attempts,
+            attempt: history.attempts,
             box_id: id.to_string(),
             deadline_ms: request.deadline.since(now).as_millis() as u64,
             ..request.message.clone()
@@ -227,7 +232,7 @@
         let tracker =
             AttemptTracker { directory: self.directory.clone(), node: self.node.clone(), id };
         let started = attempt::begin(&self.node.channels, address, message).await;
-        self.judge(started, tracker, tries)
+        self.handle_start(started, tracker, history)
     }
 
     /// A request with a key always goes to the same endpoint, whose agent remembers the key.
@@ -235,57 +240,57 @@
         &self,
         request: &DispatchRequest,
         candidates: &[Candidate],
-        tries: &TryLog,
+        history: &AttemptHistory,
     ) -> Option<BoxId> {
         let key = &request.message.once_key;
         if key.is_empty() {
             let now = self.node.now();
-            return self.directory.picker().pick(now, candidates, &tries.tried, request.affinity);
+            return self.directory.picker().pick(now, candidates, &history.tried, request.affinity);
         }
         let subject = headlatch_types::digest::key_of(key.as_bytes());
         let owner = winner(subject, candidates.iter().map(|one| one.id.key()))?;
         let owner = candidates.iter().find(|one| one.id.key() == owner)?;
-        (!tries.tried.contains(&owner.id)).then(|| owner.id.clone())
+        (!history.tried.contains(&owner.id)).then(|| owner.id.clone())
     }
 
-    fn judge(
+    fn handle_start(
         &self,
         started: AttemptStart,
         tracker: AttemptTracker,
-        tries: &mut TryLog,
-    ) -> Result<BegunAnswer, DispatchFailure> {
+        history: &mut AttemptHistory,
+    ) -> Result<ActiveResponse, DispatchFailure> {
         let now = self.node.now();
         let failure = match started {
-            AttemptStart::Answer(stream) => {
-                self.gate.note_run();
+            AttemptStart::Response(stream) => {
+                self.admission.record_accepted();
                 if let Some(load) = stream.load {
                     self.directory.picker().record_load(now, &tracker.id, load.in_progress);
                 }
-                return Ok(BegunAnswer { stream: *stream, tracker });
+                return Ok(ActiveResponse { stream: *stream, tracker });
             }
             AttemptStart::Refused(cause, load) => {
                 if cause == RefusalCause::Busy {
-                    self.gate.note_busy(now);
+                    self.admission.record_busy(now);
                 }
                 if let Some(load) = load {
                     self.directory.picker().record_load(now, &tracker.id, load.in_progress);
                 }
                 self.node.metrics.count_refusal(cause.as_str_name());
-                read_refusal(cause)
+                refusal_failure(cause)
             }
             AttemptStart::Failed(failure) => {
                 self.directory.picker().record_failure(now, &tracker.id);
                 DispatchFailure::Failed(failure)
             }
         };
-        tries.last = Some(failure.clone());
+        history.last = Some(failure.clone());
         Err(failure)
     }
 }
 
 /// What one request has been through.
 #[derive(Debug, Default)]
-struct TryLog {
+struct AttemptHistory {
     attempts: u32,
     tried: Vec<BoxId>,
     last: Option<DispatchFailure>,
@@ -293,13 +298,13 @@
     verdict: Option<RunVerdict>,
 }
 
-impl TryLog {
-    fn note(&mut self, failure: &DispatchFailure) {
+impl AttemptHistory {
+    fn record(&mut self, failure: &DispatchFailure) {
         self.verdict = Some(failure.verdict().after(self.verdict));
     }
 
     /// The failure to report: one that did not run does not undo an earlier one that may have.
-    fn conclude(&self, failure: DispatchFailure) -> DispatchFailure {
+    fn final_failure(&self, failure: DispatchFailure) -> DispatchFailure {
         let verdict = failure.verdict().after(self.verdict);
         if verdict == failure.verdict() {
             return failure;
@@ -309,7 +314,7 @@
     }
 }
 
-fn read_refusal(cause: RefusalCause) -> DispatchFailure {
+fn refusal_failure(cause: RefusalCause) -> DispatchFailure {
     match cause {
         RefusalCause::Busy => DispatchFailure::Busy,
         RefusalCause::KeyInProgress => DispatchFailure::KeyInProgress,
@@ -321,16 +326,16 @@
     }
 }
 
-async fn collect(mut begun: BegunAnswer) -> Result<(Head, Bytes), AttemptFailure> {
+async fn collect(mut response: ActiveResponse) -> Result<(Head, Bytes), AttemptFailure> {
     let mut body = BytesMut::new();
     loop {
-        match begun.next().await? {
-            AnswerPart::End => return Ok((begun.stream.head, body.freeze())),
-            AnswerPart::Data(data) if body.len() + data.len() > MOST_WHOLE_ANSWER => {
+        match response.next().await? {
+            ResponsePart::End => return Ok((response.stream.head, body.freeze())),
+            ResponsePart::Data(data) if body.len() + data.len() > MAX_BUFFERED_RESPONSE => {
                 let message = "the answer is too long; ask for a stream".to_owned();
                 return Err(AttemptFailure { verdict: RunVerdict::MayHaveRun, message });
             }
-            AnswerPart::Data(data) => body.extend_from_slice(&data),
+            ResponsePart::Data(data) => body.extend_from_slice(&data),
         }
     }
 }
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,11 +1,11 @@
 //! The entry: takes requests in from callers and sends each to an endpoint that can answer it.
 
+pub mod admission;
 pub mod answer;
 pub mod attempt;
 pub mod callers;
 pub mod directory;
 pub mod dispatch;
-pub mod gatekeeper;
 pub mod openai;
 pub mod status;
 
@@ -29,13 +29,13 @@
     },
     platform::SharedStore,
     timer::SharedTimer,
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 
-use self::{callers::CallerDesk, directory::EndpointDirectory, status::StatusWriter};
+use self::{callers::CallerApi, directory::EndpointDirectory, status::StatusWriter};
 
 /// Time after which the balancer in front has noticed that an entry is not ready.
-const LEAVE_TIME: Duration = Duration::from_secs(3);
+const READINESS_DELAY: Duration = Duration::from_secs(3);
 
 /// An entry that runs.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
         settings: EntrySettings,
         timer: SharedTimer,
         store: SharedStore,
-        spans: SpanMaker,
+        spans: SpanFactory,
     ) -> Result<Self, Report<DaemonError>> {
         let (listener, socket) = bind_control(settings.node.control).await?;
         let control_failure = || DaemonError::Bind(settings.node.control);
@@ -75,17 +75,17 @@
         let kind = NodeKind::Entry;
         let node = NodeContext::new(settings.node.clone(), kind, control, timer, store, spans);
         let directory = Arc::new(EndpointDirectory::new(node.clone()));
-        let desk = CallerDesk::new(node.clone(), directory.clone(), settings.limits.clone());
+        let api = CallerApi::new(node.clone(), directory.clone(), settings.limits.clone());
         let ready = ReadyFlag::default();
         let (stop, signal) = StopHandle::new();
         let (stop_callers, caller_signal) = StopHandle::new();
-        let callers_router = admin::add_routes(desk.router(), &node, &ready);
+        let callers_router = admin::add_routes(api.router(), &node, &ready);
         let callers = tokio::spawn(callers_server.serve(callers_router, caller_signal));
         let writer = StatusWriter::new(node.clone());
         let admin_router = admin::add_routes(Router::new(), &node, &ready);
         let admin_router = writer.add_routes(admin_router);
         let control_service = NodeServer::new(service::NodeService::new(node.clone(), None))
-            .max_decoding_message_size(service::MOST_MESSAGE);
+            .max_decoding_message_size(service::MAX_MESSAGE_BYTES);
         let mut control_signal = signal.clone();
         let served = service::server()
             .add_service(control_service)
@@ -98,7 +98,7 @@
             tokio::spawn(admin_server.serve(admin_router, signal.clone())),
             tokio::spawn(writer.run(signal.clone())),
             tokio::spawn(directory.run(ready.clone(), signal.clone())),
-            tokio::spawn(desk.run(signal)),
+            tokio::spawn(api.run(signal)),
             tokio::spawn(async move {
                 if let Err(error) = served.await {
                     log::error!("entry: the control listener failed, {error}");
@@ -114,7 +114,7 @@
         log::info!("entry: leaving");
         self.ready.set(false);
         self.node.update_record(true, |record| record.leaving = true);
-        tokio::time::sleep(LEAVE_TIME).await;
+        tokio::time::sleep(READINESS_DELAY).await;
         self.stop_callers.stop();
         // The server itself ends once its requests have, or the drain is over.
         let _ = self.callers.await;
--- a/crates/daemon/src/entry/openai.rs
+++ b/crates/daemon/src/entry/openai.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 /// Bytes of the prompt that decide where it is likely to be cached.
-const AFFINITY_BYTES: usize = 512;
+const AFFINITY_PREFIX_BYTES: usize = 512;
 
 /// Which of the two calls a completion is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     }
 
     /// A call for a model that does not exist.
-    pub fn no_model(name: &str) -> Self {
+    pub fn model_not_found(name: &str) -> Self {
         Self {
             status: StatusCode::NOT_FOUND,
             kind: "invalid_request_error",
@@ -93,7 +93,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct RawCall {
+struct RawCompletion {
     model: Option<Value>,
     stream: Option<Value>,
     prompt: Option<Value>,
@@ -102,7 +102,7 @@
 
 /// Reads a completion call.
 pub fn read_call(kind: CompletionKind, body: &Bytes) -> Result<CompletionCall, ApiError> {
-    let raw: RawCall = serde_json::from_slice(body).map_err(|error| {
+    let raw: RawCompletion = serde_json::from_slice(body).map_err(|error| {
         ApiError::invalid(None, format!("The body is not such a call: {error}."))
     })?;
     let Some(Value::String(model)) = raw.model else {
@@ -124,8 +124,8 @@
         }),
     }?;
     let text = prompt.to_string();
-    let beginning = &text.as_bytes()[..text.len().min(AFFINITY_BYTES)];
-    Ok(CompletionCall { affinity: key_of(beginning) ^ key_of(model.as_bytes()), model, stream })
+    let prefix = &text.as_bytes()[..text.len().min(AFFINITY_PREFIX_BYTES)];
+    Ok(CompletionCall { affinity: key_of(prefix) ^ key_of(model.as_bytes()), model, stream })
 }
 
 /// The answer to `/v1/models`.
--- a/crates/daemon/src/entry/status.rs
+++ b/crates/daemon/src/entry/status.rs
@@ -16,11 +16,11 @@
 use crate::{node::NodeContext, platform::WriteCondition, timer::unix_time};
 
 /// How often status is looked at.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Looks after which status is written even if nothing has changed, so that readers can tell a
 /// quiet domain from one that is cut off.
-const WRITE_EVERY: u32 = 10;
+const FORCED_WRITE_CHECKS: u32 = 10;
 
 /// Writes the status of this entry's domain.
 #[derive(Debug, Clone)]
@@ -48,24 +48,25 @@
 
     /// Runs until the stop.
     pub async fn run(self, mut signal: StopSignal) {
-        let mut ticks = self.node.timer.subscribe(LOOK_PAUSE);
+        let mut ticks = self.node.timer.subscribe(CHECK_INTERVAL);
         let mut last: Vec<NodeStatus> = Vec::new();
-        let mut looks = 0;
+        let mut checks = 0;
         loop {
             let now = tokio::select! {
                 tick = ticks.next() => match tick { Some(now) => now, None => return },
                 () = signal.stopped() => return,
             };
-            looks += 1;
+            checks += 1;
             if !self.is_writer(now) {
                 continue;
             }
             let status = self.status();
-            let settled: Vec<NodeStatus> = status.nodes.iter().map(without_pulse).collect();
-            if settled == last && looks % WRITE_EVERY != 0 {
+            let stable: Vec<NodeStatus> =
+                status.nodes.iter().map(without_volatile_fields).collect();
+            if stable == last && checks % FORCED_WRITE_CHECKS != 0 {
                 continue;
             }
-            last = settled;
+            last = stable;
             self.write(&status).await;
         }
     }
@@ -83,10 +84,10 @@
     fn is_writer(&self, now: Moment) -> bool {
         let table = self.node.table();
         let own = table.own();
-        let near = table.alive_nodes(now).filter(|record| {
+        let local = table.alive_nodes(now).filter(|record| {
             record.kind == NodeKind::Entry && record.domain == own.domain && !record.leaving
         });
-        let keys = near.map(|record| record.id.key()).chain([own.id.key()]);
+        let keys = local.map(|record| record.id.key()).chain([own.id.key()]);
         winner(own.domain.key(), keys) == Some(own.id.key())
     }
 
@@ -95,8 +96,8 @@
         let now = self.node.now();
         let table = self.node.table();
         let own = table.own();
-        let near = table.known_nodes().filter(|known| known.record.domain == own.domain);
-        let others = near.map(|known| node_status(&known.record, now.since(known.last_alive)));
+        let local = table.known_nodes().filter(|known| known.record.domain == own.domain);
+        let others = local.map(|known| node_status(&known.record, now.since(known.last_alive)));
         let mut nodes: Vec<NodeStatus> = others.chain([node_status(own, Duration::ZERO)]).collect();
         nodes.sort_by(|a, b| a.id.cmp(&b.id));
         DomainStatus {
@@ -109,14 +110,14 @@
 }
 
 /// A node's status without what changes all the time.
-fn without_pulse(status: &NodeStatus) -> NodeStatus {
-    let mut settled = status.clone();
-    settled.silent_ms = 0;
-    if let Some(endpoint) = settled.endpoint.as_mut() {
+fn without_volatile_fields(status: &NodeStatus) -> NodeStatus {
+    let mut stable = status.clone();
+    stable.silent_ms = 0;
+    if let Some(endpoint) = stable.endpoint.as_mut() {
         endpoint.in_progress = 0;
         endpoint.fetch_rate = 0;
     }
-    settled
+    stable
 }
 
 fn node_status(record: &NodeRecord, silent: Duration) -> NodeStatus {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStep {
     /// It came.
-    Came,
+    Received,
     /// A server was chosen for it.
     Admitted,
     /// It was answered whole, and its answer began within the objective.
@@ -27,20 +27,20 @@
     /// It failed and may have run.
     Failed,
     /// Its answer began and ended early.
-    Cut,
+    Truncated,
 }
 
 impl RequestStep {
     /// The name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Came => "came",
+            Self::Received => "came",
             Self::Admitted => "admitted",
             Self::InTime => "in_time",
             Self::Late => "late",
             Self::Refused => "refused",
             Self::Failed => "failed",
-            Self::Cut => "cut",
+            Self::Truncated => "cut",
         }
     }
 }
@@ -55,7 +55,7 @@
     first_byte: HistogramVec,
     chunk_bytes: IntCounterVec,
     chunk_failures: IntCounterVec,
-    control_bytes: IntCounterVec,
+    gossip_bytes: IntCounterVec,
     revision: IntGauge,
     nodes: IntGaugeVec,
     fact_ages: IntGaugeVec,
@@ -63,7 +63,7 @@
     server_signals: IntCounterVec,
     malformed_signals: IntCounterVec,
     rate_limits: IntGauge,
-    passed_over: IntCounterVec,
+    excluded_servers: IntCounterVec,
     in_progress: IntGauge,
 }
 
@@ -85,7 +85,7 @@
             counter("headlatch_chunk_bytes_total", "Bytes of chunks by way.", &["way"]);
         let chunk_failures =
             counter("headlatch_chunk_failures_total", "Failed fetches by cause.", &["cause"]);
-        let control_bytes =
+        let gossip_bytes =
             counter("headlatch_gossip_bytes_total", "Bytes of gossip by way.", &["way"]);
         let unknown_headers = counter(
             "headlatch_unknown_headers_total",
@@ -102,7 +102,7 @@
             "Malformed signals in answers of servers, by kind.",
             &["signal"],
         );
-        let passed_over = counter(
+        let excluded_servers = counter(
             "headlatch_servers_excluded_total",
             "Servers excluded by their signals when a request was refused, by kind.",
             &["signal"],
@@ -134,7 +134,7 @@
             first_byte,
             chunk_bytes,
             chunk_failures,
-            control_bytes,
+            gossip_bytes,
             revision,
             nodes,
             fact_ages,
@@ -142,7 +142,7 @@
             server_signals,
             malformed_signals,
             rate_limits,
-            passed_over,
+            excluded_servers,
             in_progress,
         }
     }
@@ -207,7 +207,7 @@
 
     /// Counts servers that their signals excluded when a request was refused.
     pub fn count_excluded(&self, signal: &str, count: u32) {
-        self.passed_over.with_label_values(&[signal]).inc_by(count.into());
+        self.excluded_servers.with_label_values(&[signal]).inc_by(count.into());
     }
 
     /// Notes the time to the first byte of an answer.
@@ -227,7 +227,7 @@
 
     /// Counts bytes of gossip, `in` or `out`.
     pub fn count_gossip(&self, way: &str, bytes: usize) {
-        self.control_bytes.with_label_values(&[way]).inc_by(bytes as u64);
+        self.gossip_bytes.with_label_values(&[way]).inc_by(bytes as u64);
     }
 
     /// Sets the revision in force.
--- a/crates/daemon/src/node/channels.rs
+++ b/crates/daemon/src/node/channels.rs
@@ -6,13 +6,13 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Time to connect.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often an idle connection is tried.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time for the answer to such a try.
-const KEEP_ALIVE_TIME: Duration = Duration::from_secs(4);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Flow-control window of a stream, so that one chunk does not starve the others.
 const STREAM_WINDOW: u32 = 512 << 10;
@@ -28,26 +28,26 @@
 
 impl ChannelCache {
     fn channel(&self, address: SocketAddr) -> Channel {
-        let mut channels = self.channels.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut channels = self.channels.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         channels.entry(address).or_insert_with(|| connect(address)).clone()
     }
 
     /// A client of the control service at `address`.
     pub fn node(&self, address: SocketAddr) -> NodeClient<Channel> {
         NodeClient::new(self.channel(address))
-            .max_decoding_message_size(super::service::MOST_MESSAGE)
+            .max_decoding_message_size(super::service::MAX_MESSAGE_BYTES)
     }
 
     /// A client of the endpoint service at `address`.
     pub fn endpoint(&self, address: SocketAddr) -> EndpointClient<Channel> {
         EndpointClient::new(self.channel(address))
-            .max_decoding_message_size(super::service::MOST_MESSAGE)
+            .max_decoding_message_size(super::service::MAX_MESSAGE_BYTES)
     }
 
     /// Drops connections to nodes that are gone.
-    pub fn retain(&self, living: impl Fn(&SocketAddr) -> bool) {
-        let mut channels = self.channels.lock().unwrap_or_else(|broken| broken.into_inner());
-        channels.retain(|address, _| living(address));
+    pub fn retain(&self, alive: impl Fn(&SocketAddr) -> bool) {
+        let mut channels = self.channels.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        channels.retain(|address, _| alive(address));
     }
 }
 
@@ -55,9 +55,9 @@
     let uri = format!("http://{address}");
     Endpoint::from_shared(uri)
         .expect("a socket address makes a URI")
-        .connect_timeout(CONNECT_TIME)
-        .http2_keep_alive_interval(KEEP_ALIVE)
-        .keep_alive_timeout(KEEP_ALIVE_TIME)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .initial_stream_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .tcp_nodelay(true)
--- a/crates/daemon/src/node/codec.rs
+++ b/crates/daemon/src/node/codec.rs
@@ -15,7 +15,7 @@
     pub field: &'static str,
 }
 
-fn wrong(field: &'static str) -> DecodeError {
+fn invalid(field: &'static str) -> DecodeError {
     DecodeError { field }
 }
 
@@ -58,14 +58,14 @@
     let kind = match message.kind() {
         wire::NodeKind::Entry => NodeKind::Entry,
         wire::NodeKind::Agent => NodeKind::Agent,
-        wire::NodeKind::Unspecified => return Err(wrong("kind")),
+        wire::NodeKind::Unspecified => return Err(invalid("kind")),
     };
     Ok(NodeRecord {
-        id: message.box_id.parse().map_err(|_| wrong("box_id"))?,
-        domain: message.domain.parse().map_err(|_| wrong("domain"))?,
-        region: message.region.parse().map_err(|_| wrong("region"))?,
+        id: message.box_id.parse().map_err(|_| invalid("box_id"))?,
+        domain: message.domain.parse().map_err(|_| invalid("domain"))?,
+        region: message.region.parse().map_err(|_| invalid("region"))?,
         kind,
-        control: message.control.parse().map_err(|_| wrong("control"))?,
+        control: message.control.parse().map_err(|_| invalid("control"))?,
         incarnation: message.incarnation,
         version: message.version,
         beat: message.beat,
@@ -79,7 +79,7 @@
     let set = |key: u64| (key != 0).then_some(SetKey(key));
     let service = match message.service.as_str() {
         "" => None,
-        name => Some(name.parse().map_err(|_| wrong("service"))?),
+        name => Some(name.parse().map_err(|_| invalid("service"))?),
     };
     Ok(EndpointState {
         service,
@@ -112,20 +112,21 @@
 
 /// A packet from a message; records that are wrong are left out.
 pub fn decode_packet(message: wire::GossipPacket) -> GossipPacket {
-    let keyed = message.beat_keys.into_iter().zip(message.beats);
-    let told = message.versions.into_iter().zip(message.figures).zip(message.revisions);
-    type Told = ((u32, u32), u32);
-    let beat = |((key, beat), ((version, figures), revision)): ((u32, u32), Told)| Heartbeat {
-        key: ShortKey(key),
-        beat,
-        version,
-        revision,
-        in_progress: figures as u16,
-        fetched_permille: (figures >> 16) as u16,
-    };
+    let keyed_beats = message.beat_keys.into_iter().zip(message.beats);
+    let beat_fields = message.versions.into_iter().zip(message.figures).zip(message.revisions);
+    type BeatFields = ((u32, u32), u32);
+    let beat =
+        |((key, beat), ((version, figures), revision)): ((u32, u32), BeatFields)| Heartbeat {
+            key: ShortKey(key),
+            beat,
+            version,
+            revision,
+            in_progress: figures as u16,
+            fetched_permille: (figures >> 16) as u16,
+        };
     GossipPacket {
         records: message.records.into_iter().filter_map(|one| decode_record(one).ok()).collect(),
-        beats: keyed.zip(told).map(beat).collect(),
+        beats: keyed_beats.zip(beat_fields).map(beat).collect(),
         wants: message.wants.into_iter().map(ShortKey).collect(),
     }
 }
@@ -159,14 +160,15 @@
     let pool = if message.store { DrawPool::Store } else { DrawPool::Origin };
     (chunk.0 < chunks)
         .then_some(DrawTicket { chunk, pool, lane: message.lane })
-        .ok_or(wrong("ticket"))
+        .ok_or(invalid("ticket"))
 }
 
 /// A note from a message about a manifest of `chunks` chunks.
 pub fn decode_note(message: wire::SwarmNote, chunks: u32) -> Result<SwarmNote, DecodeError> {
     use wire::swarm_note::Note;
-    let checked = |chunk: u32| (chunk < chunks).then_some(ChunkIndex(chunk)).ok_or(wrong("chunk"));
-    Ok(match message.note.ok_or(wrong("note"))? {
+    let checked =
+        |chunk: u32| (chunk < chunks).then_some(ChunkIndex(chunk)).ok_or(invalid("chunk"));
+    Ok(match message.note.ok_or(invalid("note"))? {
         Note::Have(list) => {
             SwarmNote::Have(list.chunks.into_iter().map(checked).collect::<Result<_, _>>()?)
         }
--- a/crates/daemon/src/node/gossip.rs
+++ b/crates/daemon/src/node/gossip.rs
@@ -13,13 +13,13 @@
 use crate::timer::unix_time;
 
 /// Largest datagram taken; those sent are a good deal smaller.
-const MOST_DATAGRAM: usize = 8 << 10;
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// Runs gossip on `socket` until the stop.
 pub async fn run(node: Arc<NodeContext>, socket: UdpSocket, mut signal: StopSignal) {
     let mut rng = SmallRng::seed_from_u64(node.settings.box_id.key());
     let mut ticks = node.timer.subscribe(GOSSIP_INTERVAL);
-    let mut buffer = vec![0; MOST_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
@@ -30,9 +30,9 @@
                 let Some(now) = tick else { return };
                 node.table().expire(now);
                 send(&node, &socket, &mut rng, 1).await;
-                count(&node);
+                update_metrics(&node);
             }
-            () = node.rumour.notified() => {
+            () = node.urgent_gossip.notified() => {
                 send(&node, &socket, &mut rng, URGENT_FANOUT).await;
             }
             () = signal.stopped() => return,
@@ -86,7 +86,7 @@
         tokio::spawn(fetch_config(node.clone(), address));
     }
     if outcome.urgent {
-        node.rumour.notify_one();
+        node.urgent_gossip.notify_one();
     }
 }
 
@@ -106,9 +106,9 @@
     }
 }
 
-fn count(node: &NodeContext) {
+fn update_metrics(node: &NodeContext) {
     let table = node.table();
-    let living = table.alive_nodes(node.now()).count();
-    node.metrics.set_nodes("living", living);
+    let alive = table.alive_nodes(node.now()).count();
+    node.metrics.set_nodes("living", alive);
     node.metrics.set_nodes("known", table.known_nodes().count());
 }
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -24,7 +24,7 @@
     metrics::NodeMetrics,
     platform::SharedStore,
     timer::{SharedTimer, unix_time},
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 
 use self::channels::ChannelCache;
@@ -41,14 +41,14 @@
     /// Metrics.
     pub metrics: NodeMetrics,
     /// Traces.
-    pub spans: SpanMaker,
+    pub spans: SpanFactory,
     /// Connections to other nodes.
     pub channels: ChannelCache,
     table: Mutex<NodeTable>,
     holder: Mutex<ConfigHolder>,
     config: watch::Sender<Arc<FleetConfig>>,
     /// Wakes the gossip loop when there is news of its own.
-    pub(crate) rumour: Notify,
+    pub(crate) urgent_gossip: Notify,
 }
 
 impl NodeContext {
@@ -59,7 +59,7 @@
         control: SocketAddr,
         timer: SharedTimer,
         store: SharedStore,
-        spans: SpanMaker,
+        spans: SpanFactory,
     ) -> Arc<Self> {
         let started = unix_time().as_micros() as u64;
         let own = NodeRecord {
@@ -85,7 +85,7 @@
             table: Mutex::new(NodeTable::new(own)),
             holder: Mutex::default(),
             config: watch::channel(Arc::default()).0,
-            rumour: Notify::new(),
+            urgent_gossip: Notify::new(),
         })
     }
 
@@ -96,7 +96,7 @@
 
     /// The membership table.
     pub fn table(&self) -> MutexGuard<'_, NodeTable> {
-        self.table.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// The configuration in force here.
@@ -113,13 +113,13 @@
     pub fn update_record(&self, urgent: bool, change: impl FnOnce(&mut NodeRecord)) {
         self.table().update(change);
         if urgent {
-            self.rumour.notify_one();
+            self.urgent_gossip.notify_one();
         }
     }
 
     /// Takes over a configuration if it is newer than the one in force.
     pub fn offer_config(&self, revision: ConfigRevision, text: &str) {
-        let mut holder = self.holder.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut holder = self.holder.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         match holder.offer(revision, text) {
             OfferOutcome::Taken => {
                 self.config.send_replace(holder.current());
--- a/crates/daemon/src/node/service.rs
+++ b/crates/daemon/src/node/service.rs
@@ -13,23 +13,23 @@
 use super::NodeContext;
 
 /// Largest message between nodes: a manifest, a fleet file or a request with its body.
-pub const MOST_MESSAGE: usize = 17 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 17 << 20;
 
 /// Streams of one connection that may be open at the same time.
-const MOST_STREAMS: u32 = 1024;
+const MAX_STREAMS: u32 = 1024;
 
 /// Largest head of a call.
-const MOST_HEAD: u32 = 16 << 10;
+const MAX_HEADER_LIST_BYTES: u32 = 16 << 10;
 
 /// How often an idle connection is tried.
-const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(5);
+const KEEP_ALIVE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// A server for the control listener, with its limits.
 pub fn server() -> tonic::transport::Server {
     tonic::transport::Server::builder()
-        .max_concurrent_streams(MOST_STREAMS)
-        .http2_max_header_list_size(MOST_HEAD)
-        .http2_keepalive_interval(Some(KEEP_ALIVE))
+        .max_concurrent_streams(MAX_STREAMS)
+        .http2_max_header_list_size(MAX_HEADER_LIST_BYTES)
+        .http2_keepalive_interval(Some(KEEP_ALIVE_INTERVAL))
         .tcp_nodelay(true)
 }
 
@@ -39,7 +39,7 @@
 /// What an agent does for others' transfers; entries do nothing.
 pub trait SwarmHost: Send + Sync + 'static {
     /// Takes in notes; false if this box takes no part in the transfer.
-    fn take_notes(&self, notes: SwarmNotes) -> bool;
+    fn handle_notes(&self, notes: SwarmNotes) -> bool;
     /// Serves one fetch of a chunk.
     fn serve_chunk(&self, steps: Streaming<FetchStep>) -> PieceStream;
     /// The text of a manifest, if it is here.
@@ -75,7 +75,7 @@
 
     async fn tell(&self, request: Request<SwarmNotes>) -> Result<Response<SwarmAck>, Status> {
         let notes = request.into_inner();
-        let takes_part = self.host.as_ref().is_some_and(|host| host.take_notes(notes));
+        let takes_part = self.host.as_ref().is_some_and(|host| host.handle_notes(notes));
         Ok(Response::new(SwarmAck { takes_part }))
     }
 
--- a/crates/daemon/src/node/sync.rs
+++ b/crates/daemon/src/node/sync.rs
@@ -16,16 +16,16 @@
 const WATCHERS: usize = 2;
 
 /// How long one watch waits.
-const WATCH_TIME: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause after a failed call.
-const FAILURE_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// How often a node looks whether it should watch.
-const DUTY_PAUSE: Duration = Duration::from_secs(2);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How often a watching node reads the list of members.
-const MEMBERS_PAUSE: Duration = Duration::from_secs(5);
+const MEMBERS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs until the stop.
 pub async fn run(node: Arc<NodeContext>, mut signal: StopSignal) {
@@ -36,21 +36,21 @@
 }
 
 async fn follow_config(node: &NodeContext) {
-    take(node, node.store.read(FLEET_KEY).await);
+    apply_read(node, node.store.read(FLEET_KEY).await);
     loop {
         if !is_watcher(node) {
-            tokio::time::sleep(DUTY_PAUSE).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let after = node.config().revision.number();
-        if !take(node, node.store.watch(FLEET_KEY, after, WATCH_TIME).await) {
-            tokio::time::sleep(FAILURE_PAUSE).await;
+        if !apply_read(node, node.store.watch(FLEET_KEY, after, WATCH_TIMEOUT).await) {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Takes over what the platform answered; false if it did not.
-fn take(node: &NodeContext, answer: Result<Option<ObjectValue>, StoreError>) -> bool {
+fn apply_read(node: &NodeContext, answer: Result<Option<ObjectValue>, StoreError>) -> bool {
     match answer {
         Ok(Some(object)) => node.offer_config(ConfigRevision::new(object.version), &object.text),
         Ok(None) => {}
@@ -70,14 +70,14 @@
     let now = node.now();
     let table = node.table();
     let own = table.own();
-    let near =
+    let local =
         table.alive_nodes(now).filter(|record| record.domain == own.domain && !record.leaving);
-    let near: Vec<_> = near.chain([own]).collect();
-    let entries = near.iter().any(|record| record.kind == NodeKind::Entry);
+    let local: Vec<_> = local.chain([own]).collect();
+    let entries = local.iter().any(|record| record.kind == NodeKind::Entry);
     if entries && own.kind == NodeKind::Agent {
         return false;
     }
-    let same_kind = near.iter().filter(|record| record.kind == own.kind);
+    let same_kind = local.iter().filter(|record| record.kind == own.kind);
     let ranked = ranking(own.domain.key(), same_kind.map(|record| record.id.key()));
     ranked.iter().take(WATCHERS).any(|key| *key == own.id.key())
 }
@@ -94,7 +94,7 @@
                 Err(error) => log::debug!("members: {error}"),
             }
         }
-        let pause = if first { FAILURE_PAUSE } else { MEMBERS_PAUSE };
+        let pause = if first { RETRY_DELAY } else { MEMBERS_INTERVAL };
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/daemon/src/platform/http.rs
+++ b/crates/daemon/src/platform/http.rs
@@ -13,10 +13,10 @@
 };
 
 /// Time for a call that does not wait.
-const CALL_TIME: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Largest answer: a list of objects of up to 1 MiB each.
-const MOST_ANSWER: ByteSize = ByteSize::from_mib(64);
+const MAX_RESPONSE: ByteSize = ByteSize::from_mib(64);
 
 /// The object API at one address.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     ) -> Result<(StatusCode, HeaderMap, Bytes), StoreError> {
         let path = self.path(path);
         let target = (Method::GET, &*path);
-        let limits = (MOST_ANSWER, time);
+        let limits = (MAX_RESPONSE, time);
         let call =
             self.caller.call(self.url.address(), target, HeaderMap::new(), Bytes::new(), limits);
         call.await.map_err(|error| StoreError(error.message))
@@ -94,7 +94,7 @@
         }
         let path = self.path(&format!("v1/objects/{key}"));
         let target = (Method::PUT, &*path);
-        let limits = (MOST_ANSWER, CALL_TIME);
+        let limits = (MAX_RESPONSE, CALL_TIMEOUT);
         let call = self.caller.call(self.url.address(), target, headers, Bytes::from(text), limits);
         match call.await {
             Ok((StatusCode::OK, headers, _)) => {
@@ -128,7 +128,7 @@
         &'a self,
         key: &'a str,
     ) -> StoreFuture<'a, Result<Option<ObjectValue>, StoreError>> {
-        Box::pin(async move { self.get_object(&format!("v1/objects/{key}"), CALL_TIME).await })
+        Box::pin(async move { self.get_object(&format!("v1/objects/{key}"), CALL_TIMEOUT).await })
     }
 
     fn watch<'a>(
@@ -138,7 +138,7 @@
         wait: Duration,
     ) -> StoreFuture<'a, Result<Option<ObjectValue>, StoreError>> {
         let path = format!("v1/objects/{key}?after={after}&wait_ms={}", wait.as_millis());
-        Box::pin(async move { self.get_object(&path, wait + CALL_TIME).await })
+        Box::pin(async move { self.get_object(&path, wait + CALL_TIMEOUT).await })
     }
 
     fn write<'a>(
@@ -156,7 +156,7 @@
     ) -> StoreFuture<'a, Result<Vec<(String, ObjectValue)>, StoreError>> {
         let path = format!("v1/objects?prefix={prefix}");
         Box::pin(async move {
-            let (status, _, body) = self.get(&path, CALL_TIME).await?;
+            let (status, _, body) = self.get(&path, CALL_TIMEOUT).await?;
             let rows: Vec<ListedObject> = read_list(status, &body)?;
             let value = |row: ListedObject| {
                 (row.key, ObjectValue { version: row.version, text: row.value })
@@ -167,7 +167,7 @@
 
     fn members(&self) -> StoreFuture<'_, Result<Vec<ListedMember>, StoreError>> {
         Box::pin(async move {
-            let (status, _, body) = self.get("v1/members", CALL_TIME).await?;
+            let (status, _, body) = self.get("v1/members", CALL_TIMEOUT).await?;
             read_list(status, &body)
         })
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -26,25 +26,25 @@
     platform::{HttpStore, SharedStore},
     supervisor,
     timer::{SharedTimer, SystemTimer},
-    trace::SpanMaker,
+    trace::SpanFactory,
 };
 
 /// Reads the command line and does what it says.
 pub fn run() -> Result<(), Failure> {
     let command = CommandLine::parse().command;
-    let (args, wanted) = match &command {
+    let (args, requested) = match &command {
         DaemonCommand::Entry(args) => (args, Some(DaemonKind::Entry)),
         DaemonCommand::Agent(args) => (args, Some(DaemonKind::Agent)),
         DaemonCommand::Check(args) => (args, None),
     };
     let settings = read_settings(args)?;
-    match wanted {
+    match requested {
         None => {
             println!("{}: {}", args.settings.display(), describe(&settings));
             Ok(())
         }
-        Some(wanted) => {
-            check_kind(&args.settings, wanted, &settings)?;
+        Some(requested) => {
+            check_kind(&args.settings, requested, &settings)?;
             Ok(run_daemon(settings, args)?)
         }
     }
@@ -66,10 +66,10 @@
 
 fn check_kind(
     path: &Path,
-    wanted: DaemonKind,
+    requested: DaemonKind,
     settings: &DaemonSettings,
 ) -> Result<(), Report<DaemonError>> {
-    let message = match (wanted, settings) {
+    let message = match (requested, settings) {
         (DaemonKind::Entry, DaemonSettings::Entry(_) | DaemonSettings::DirectEntry(_))
         | (DaemonKind::Agent, DaemonSettings::Agent(_) | DaemonSettings::DirectAgent(_)) => {
             return Ok(());
@@ -124,14 +124,14 @@
     let timer: SharedTimer = Arc::new(SystemTimer::default());
     match settings {
         DaemonSettings::Entry(settings) => {
-            let (store, spans) = tools(&settings.node, "headlatch-entry")?;
+            let (store, spans) = store_and_spans(&settings.node, "headlatch-entry")?;
             let entry = RunningEntry::start(*settings, timer, store, spans.clone()).await?;
             wait_for_stop().await?;
             entry.leave().await;
             spans.flush();
         }
         DaemonSettings::Agent(settings) => {
-            let (store, spans) = tools(&settings.node, "headlatch-agent")?;
+            let (store, spans) = store_and_spans(&settings.node, "headlatch-agent")?;
             let agent = RunningAgent::start(*settings, timer, store, spans.clone()).await?;
             wait_for_stop().await?;
             agent.leave().await;
@@ -183,9 +183,12 @@
     Ok(())
 }
 
-fn tools(node: &NodeSettings, name: &str) -> Result<(SharedStore, SpanMaker), Report<DaemonError>> {
+fn store_and_spans(
+    node: &NodeSettings,
+    name: &str,
+) -> Result<(SharedStore, SpanFactory), Report<DaemonError>> {
     let store: SharedStore = Arc::new(HttpStore::new(node.platform.clone()));
-    Ok((store, SpanMaker::new(name, node.traces.as_ref())?))
+    Ok((store, SpanFactory::new(name, node.traces.as_ref())?))
 }
 
 async fn wait_for_stop() -> Result<(), Report<DaemonError>> {
@@ -205,7 +208,7 @@
 /// they were until the next start.
 async fn wait_for_stop_or_reload(
     args: &SettingsArgs,
-    take: impl Fn(DaemonSettings),
+    apply: impl Fn(DaemonSettings),
 ) -> Result<(), Report<DaemonError>> {
     let mut hangup =
         signal(SignalKind::hangup()).change_context(DaemonError::Telemetry("signals"))?;
@@ -214,8 +217,8 @@
             stopped = wait_for_stop() => return stopped,
             _ = hangup.recv() => match read_settings(args) {
                 Ok(settings) => {
-                    decisions::note("life", "reloaded", serde_json::json!({}));
-                    take(settings);
+                    decisions::info("life", "reloaded", serde_json::json!({}));
+                    apply(settings);
                 }
                 Err(error) => {
                     let fields = serde_json::json!({ "error": format!("{error:#}") });
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -18,31 +18,31 @@
 
 /// Pause before a part begins again: what made it panic may still be there, and must not take the
 /// whole processor.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// Runs a part for ever, or until it ends by itself.
-pub fn keep_running<F>(part: &'static str, begin: impl Fn() -> F + Send + 'static) -> JoinHandle<()>
+pub fn supervise<F>(part: &'static str, start: impl Fn() -> F + Send + 'static) -> JoinHandle<()>
 where
     F: Future<Output = ()> + Send + 'static,
 {
     tokio::spawn(async move {
         // What parts share is locked for single steps, and taken over as a panic has left it.
-        while let Err(panic) = AssertUnwindSafe(begin()).catch_unwind().await {
+        while let Err(panic) = AssertUnwindSafe(start()).catch_unwind().await {
             let fields = json!({ "running": part, "reason": reason(&*panic) });
             decisions::warn("life", "part_begins_again", fields);
-            tokio::time::sleep(RESTART_PAUSE).await;
+            tokio::time::sleep(RESTART_DELAY).await;
         }
     })
 }
 
 /// Has every panic written into the decision log, beside what goes to standard error.
 pub fn log_panics() {
-    let before = std::panic::take_hook();
+    let previous = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info: &PanicHookInfo<'_>| {
-        let place = info.location().map(ToString::to_string);
-        let fields = json!({ "reason": reason(info.payload()), "place": place });
+        let location = info.location().map(ToString::to_string);
+        let fields = json!({ "reason": reason(info.payload()), "place": location });
         decisions::warn("life", "panicked", fields);
-        before(info);
+        previous(info);
     }));
 }
 
--- a/crates/daemon/src/timer/manual.rs
+++ b/crates/daemon/src/timer/manual.rs
@@ -31,13 +31,13 @@
 
 impl ManualTimer {
     fn lock(&self) -> MutexGuard<'_, ManualState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Moves the time on and sends the ticks that have become due.
-    pub fn advance(&self, rest: Duration) {
+    pub fn advance(&self, duration: Duration) {
         let mut state = self.lock();
-        state.now = state.now + rest;
+        state.now = state.now + duration;
         let now = state.now;
         state.subscriptions.retain_mut(|subscription| {
             if subscription.due > now {
--- a/crates/daemon/src/timer/mod.rs
+++ b/crates/daemon/src/timer/mod.rs
@@ -1,7 +1,7 @@
 //! Time as a service that parts subscribe to.
 
 mod manual;
-mod sleep;
+mod suspend;
 mod system;
 
 use std::{sync::Arc, time::Duration};
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 
 pub use manual::ManualTimer;
-pub use sleep::{KernelSleep, NodeClock, SleepSource};
+pub use suspend::{KernelSuspendClock, NodeClock, SuspendSource};
 pub use system::SystemTimer;
 
 /// Time of day since 1970, for what is compared across processes; zero on a clock before that.
--- a/crates/daemon/src/timer/sleep.rs
+++ b/crates/daemon/src/timer/suspend.rs
@@ -12,34 +12,34 @@
 
 /// Least time after which the machine is asked again for how long it was suspended. Facts may be taken
 /// for that much younger than they are; to ask each time costs two readings of clocks a call.
-const ASK_PAUSE: Duration = Duration::from_millis(5);
+const QUERY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Tells for how long the machine has been suspended.
-pub trait SleepSource: Send + Sync + Debug {
+pub trait SuspendSource: Send + Sync + Debug {
     /// Time for which it has been suspended since the source began.
-    fn slept(&self) -> Duration;
+    fn suspended(&self) -> Duration;
 }
 
 /// The kernel's clocks: the one that counts suspended time goes ahead of the one that does not.
 #[derive(Debug)]
-pub struct KernelSleep {
-    ahead_at_start: Duration,
+pub struct KernelSuspendClock {
+    lead_at_start: Duration,
 }
 
-impl Default for KernelSleep {
+impl Default for KernelSuspendClock {
     fn default() -> Self {
-        Self { ahead_at_start: ahead() }
+        Self { lead_at_start: boot_clock_lead() }
     }
 }
 
-impl SleepSource for KernelSleep {
-    fn slept(&self) -> Duration {
-        ahead().saturating_sub(self.ahead_at_start)
+impl SuspendSource for KernelSuspendClock {
+    fn suspended(&self) -> Duration {
+        boot_clock_lead().saturating_sub(self.lead_at_start)
     }
 }
 
 /// How far the clock that counts suspended time is ahead; nothing where the kernel has none.
-fn ahead() -> Duration {
+fn boot_clock_lead() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from);
     let steady = read(ClockId::CLOCK_MONOTONIC);
     match (read(ClockId::CLOCK_BOOTTIME), steady) {
@@ -51,52 +51,52 @@
 /// A clock that counts suspended time as well.
 #[derive(Debug)]
 pub struct NodeClock {
-    begun: Instant,
-    source: Box<dyn SleepSource>,
+    started: Instant,
+    source: Box<dyn SuspendSource>,
     /// Microseconds from its beginning to when the source was asked last, by the steady clock.
-    asked: AtomicU64,
+    queried: AtomicU64,
     /// Microseconds of suspension that it told then.
-    slept: AtomicU64,
+    suspended: AtomicU64,
 }
 
 impl Default for NodeClock {
     fn default() -> Self {
-        Self::new(Box::new(KernelSleep::default()))
+        Self::new(Box::new(KernelSuspendClock::default()))
     }
 }
 
 impl NodeClock {
     /// A clock that begins now.
-    pub fn new(source: Box<dyn SleepSource>) -> Self {
-        let [asked, slept] = [0; 2].map(AtomicU64::new);
-        Self { begun: Instant::now(), source, asked, slept }
+    pub fn new(source: Box<dyn SuspendSource>) -> Self {
+        let [queried, suspended] = [0; 2].map(AtomicU64::new);
+        Self { started: Instant::now(), source, queried, suspended }
     }
 
     /// The time since it began.
     pub fn now(&self) -> Moment {
-        let steady = self.begun.elapsed();
+        let steady = self.started.elapsed();
         self.moment(steady)
     }
 
     /// The same at a moment of the steady clock.
     pub fn at(&self, steady: Instant) -> Moment {
-        self.moment(steady.saturating_duration_since(self.begun))
+        self.moment(steady.saturating_duration_since(self.started))
     }
 
     /// Time for which the machine was suspended since the clock began.
-    pub fn slept(&self) -> Duration {
+    pub fn suspended(&self) -> Duration {
         let _ = self.now();
-        Duration::from_micros(self.slept.load(Ordering::Relaxed))
+        Duration::from_micros(self.suspended.load(Ordering::Relaxed))
     }
 
     fn moment(&self, steady: Duration) -> Moment {
         let steady = steady.as_micros() as u64;
-        let asked = self.asked.load(Ordering::Relaxed);
-        if steady.saturating_sub(asked) >= ASK_PAUSE.as_micros() as u64 || asked == 0 {
-            self.asked.store(steady.max(1), Ordering::Relaxed);
+        let queried = self.queried.load(Ordering::Relaxed);
+        if steady.saturating_sub(queried) >= QUERY_INTERVAL.as_micros() as u64 || queried == 0 {
+            self.queried.store(steady.max(1), Ordering::Relaxed);
             // Never back: what was once counted stays counted.
-            self.slept.fetch_max(self.source.slept().as_micros() as u64, Ordering::Relaxed);
+            self.suspended.fetch_max(self.source.suspended().as_micros() as u64, Ordering::Relaxed);
         }
-        Moment::from_micros(steady + self.slept.load(Ordering::Relaxed))
+        Moment::from_micros(steady + self.suspended.load(Ordering::Relaxed))
     }
 }
--- a/crates/daemon/src/timer/system.rs
+++ b/crates/daemon/src/timer/system.rs
@@ -8,7 +8,7 @@
     time::{MissedTickBehavior, interval},
 };
 
-use super::{NodeClock, SleepSource, TickStream, TimerService};
+use super::{NodeClock, SuspendSource, TickStream, TimerService};
 
 /// A timer service on the system's clocks; it counts the time for which the machine is suspended.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
 
 impl SystemTimer {
     /// The same with another source of suspended time.
-    pub fn with_sleep(source: Box<dyn SleepSource>) -> Self {
+    pub fn with_suspend_source(source: Box<dyn SuspendSource>) -> Self {
         Self { clock: Arc::new(NodeClock::new(source)) }
     }
 }
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -20,11 +20,11 @@
 
 /// Makes the spans of one daemon.
 #[derive(Debug, Clone)]
-pub struct SpanMaker {
+pub struct SpanFactory {
     provider: SdkTracerProvider,
 }
 
-impl SpanMaker {
+impl SpanFactory {
     /// A maker whose spans go to the collector in `settings`, or nowhere.
     pub fn new(
         service: &str,
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::Stream;
 use headlatch_daemon::{
-    entry::attempt::{self, AnswerPart, AttemptStart},
+    entry::attempt::{self, AttemptStart, ResponsePart},
     node::channels::ChannelCache,
 };
 use headlatch_types::RunVerdict;
@@ -105,13 +105,13 @@
     let mut answer = match attempt::begin(&ChannelCache::default(), address, request).await {
         AttemptStart::Refused(..) => return (RunVerdict::NotRun, None),
         AttemptStart::Failed(failure) => return (failure.verdict, None),
-        AttemptStart::Answer(answer) => answer,
+        AttemptStart::Response(answer) => answer,
     };
     let mut text = String::new();
     loop {
         match answer.next().await {
-            Ok(AnswerPart::Data(data)) => text.push_str(std::str::from_utf8(&data).unwrap()),
-            Ok(AnswerPart::End) => return (RunVerdict::Ran, Some(text)),
+            Ok(ResponsePart::Data(data)) => text.push_str(std::str::from_utf8(&data).unwrap()),
+            Ok(ResponsePart::End) => return (RunVerdict::Ran, Some(text)),
             Err(failure) => return (failure.verdict, None),
         }
     }
--- a/crates/daemon/tests/load_shedding.rs
+++ b/crates/daemon/tests/load_shedding.rs
@@ -96,7 +96,7 @@
         statuses.iter().filter(|status| **status == StatusCode::SERVICE_UNAVAILABLE).count() as u64;
     expect_that!(served + refused, eq(REQUESTS));
     expect_that!(served, all![ge(1), le(u64::from(SLOTS) + 2)]);
-    expect_that!(fixture.step_count(RequestStep::Came), eq(REQUESTS));
+    expect_that!(fixture.step_count(RequestStep::Received), eq(REQUESTS));
     expect_that!(fixture.step_count(RequestStep::Admitted), eq(served));
     expect_that!(fixture.step_count(RequestStep::Refused), eq(refused));
     let answered = fixture.step_count(RequestStep::InTime) + fixture.step_count(RequestStep::Late);
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -71,9 +71,9 @@
                 tokio::time::sleep(CLIENT_SILENCE).await;
                 return Err(StoreFailure::Unreachable("silent for 3000 ms".to_owned()));
             }
-            let come = self.share().min(left);
-            left -= come;
-            progress.add(come);
+            let received = self.share().min(left);
+            left -= received;
+            progress.add(received);
         }
         Ok(())
     }
@@ -171,15 +171,15 @@
     for tenths in 0..20 {
         let changed = Instant::now() + Duration::from_millis(6000 + tenths * 100);
         let store = Arc::new(NarrowStore { changed: Some(changed), ..NarrowStore::new(1) });
-        let (known, mut knows) = mpsc::unbounded_channel();
+        let (notify_read, mut read) = mpsc::unbounded_channel();
         let take = move |news: FactNews| {
             if news.covered().0 >= 2 {
-                known.send(()).expect("the test waits");
+                notify_read.send(()).expect("the test waits");
             }
         };
         let (topic, gate) = (FactTopic::Plan, Arc::new(AlwaysOpen));
         let reading = tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, take));
-        knows.recv().await;
+        read.recv().await;
         reading.abort();
         expect_that!(changed.elapsed(), le(Duration::from_millis(4400)), "{tenths}");
         expect_that!(store.calls.load(Ordering::Relaxed), eq(2), "{tenths}");
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -15,7 +15,7 @@
 use headlatch_core::time::Moment;
 use headlatch_daemon::{
     direct::{entry::DirectEntry, state::EntryState},
-    timer::{KernelSleep, NodeClock, SleepSource, SystemTimer, TimerService},
+    timer::{KernelSuspendClock, NodeClock, SuspendSource, SystemTimer, TimerService},
 };
 use headlatch_outside::facts::{Fact, FactTopic, NamedFact, StoreRevision};
 use headlatch_types::traffic::PlanVersion;
@@ -23,16 +23,16 @@
 
 /// Suspended time that a test sets, in milliseconds.
 #[derive(Debug, Clone, Default)]
-struct TestSleep(Arc<AtomicU64>);
+struct TestSuspendSource(Arc<AtomicU64>);
 
-impl TestSleep {
+impl TestSuspendSource {
     fn sleep(&self, millis: u64) {
         self.0.fetch_add(millis, Ordering::Relaxed);
     }
 }
 
-impl SleepSource for TestSleep {
-    fn slept(&self) -> Duration {
+impl SuspendSource for TestSuspendSource {
+    fn suspended(&self) -> Duration {
         Duration::from_millis(self.0.load(Ordering::Relaxed))
     }
 }
@@ -40,22 +40,22 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_clock_counts_the_time_in_which_the_machine_was_suspended() {
-    let sleep = TestSleep::default();
+    let sleep = TestSuspendSource::default();
     let clock = NodeClock::new(Box::new(sleep.clone()));
     tokio::time::advance(Duration::from_secs(1)).await;
     expect_that!(clock.now(), eq(Moment::from_micros(1_000_000)));
     sleep.sleep(10_000);
     tokio::time::advance(Duration::from_millis(10)).await;
     expect_that!(clock.now(), eq(Moment::from_micros(11_010_000)));
-    expect_that!(clock.slept(), eq(Duration::from_secs(10)));
+    expect_that!(clock.suspended(), eq(Duration::from_secs(10)));
 }
 
 /// Whoever subscribes to ticks hears the time with it.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn ticks_tell_the_time_with_what_was_slept() {
-    let sleep = TestSleep::default();
-    let timer = SystemTimer::with_sleep(Box::new(sleep.clone()));
+    let sleep = TestSuspendSource::default();
+    let timer = SystemTimer::with_suspend_source(Box::new(sleep.clone()));
     let mut ticks = timer.subscribe(Duration::from_millis(100));
     let before = ticks.next().await.expect("a tick");
     sleep.sleep(5000);
@@ -67,9 +67,9 @@
 
 #[gtest]
 fn a_machine_that_was_not_suspended_has_not_slept() {
-    let kernel = KernelSleep::default();
+    let kernel = KernelSuspendClock::default();
     std::thread::sleep(Duration::from_millis(50));
-    expect_that!(kernel.slept(), lt(Duration::from_millis(20)));
+    expect_that!(kernel.suspended(), lt(Duration::from_millis(20)));
 }
 
 /// After ten seconds the entry knows that its facts are that old, and reads everything anew: what
@@ -77,7 +77,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_wakes_knows_how_old_its_facts_are_and_reads_them_anew() {
-    let sleep = TestSleep::default();
+    let sleep = TestSuspendSource::default();
     let clock = NodeClock::new(Box::new(sleep.clone()));
     let state = EntryState::with_clock(settings(), Arc::new(TestHeaders), clock);
     let store = Arc::new(TestStore::default());
