--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -4,27 +4,28 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// Entries and agents of headlatch, which spreads weights to boxes and routes requests to them.
+/// Entry and agent daemons of headlatch, which distributes model weights to boxes and routes
+/// requests to them.
 #[derive(Debug, Parser)]
 #[command(name = "headlatchd", version)]
 pub struct CommandLine {
-    /// What to run
+    /// Command to run
     #[command(subcommand)]
     pub command: DaemonCommand,
 }
 
-/// What to run.
+/// Commands of `headlatchd`.
 #[derive(Debug, Subcommand)]
 pub enum DaemonCommand {
-    /// Take requests in from callers
+    /// Accept requests from callers and route them to endpoints
     Entry(SettingsArgs),
-    /// Look after the endpoint on this box
+    /// Manage the endpoint on this box
     Agent(SettingsArgs),
-    /// Check settings and do nothing else
+    /// Validate a settings file and exit
     Check(SettingsArgs),
 }
 
-/// Where settings are.
+/// Arguments that locate the settings.
 #[derive(Debug, Args)]
 pub struct SettingsArgs {
     /// Settings file, in JSON
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,8 +1,8 @@
-//! The decision log: one JSON object a line on standard output, bounded, never in the way.
+//! The decision log: one JSON object per line on standard output, bounded and non-blocking.
 //!
-//! Lines go into a buffer in memory and a thread of their own writes them. A line that finds the
-//! buffer full, or that comes after too many in one second, is counted and left out; how many were
-//! left out is told in a line of its own.
+//! Lines are appended to an in-memory buffer and written by a dedicated thread. A line is dropped
+//! and counted if the buffer is full or the per-second limit is reached; the number of dropped
+//! lines is reported in a separate `lines_left_out` line.
 
 use std::{
     io::Write,
@@ -18,13 +18,13 @@
 
 use crate::timer::unix_time;
 
-/// Most bytes that wait to be written.
+/// Maximum number of buffered bytes before further lines are dropped.
 const MAX_BUFFERED_BYTES: usize = 512 << 10;
 
-/// Most lines in one second.
+/// Maximum number of lines accepted per second.
 const MAX_LINES_PER_SECOND: u32 = 2_000;
 
-/// Time that the writer lets lines gather.
+/// Delay after the first buffered line before the writer flushes, so that lines are batched.
 const WRITE_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
@@ -45,7 +45,7 @@
 
 static LOG: OnceLock<DecisionLog> = OnceLock::new();
 
-/// One line.
+/// One log line as serialized.
 #[derive(Debug, Serialize)]
 struct Line<'a, T: Serialize> {
     time_ms: u64,
@@ -57,7 +57,7 @@
     fields: T,
 }
 
-/// Starts the log for the whole process; lines before that are left out.
+/// Starts the process-wide log; lines logged earlier are discarded.
 pub fn start() {
     let log = LOG.get_or_init(|| DecisionLog {
         buffer: Mutex::default(),
@@ -67,22 +67,22 @@
     });
     let spawned = std::thread::Builder::new().name("log".to_owned()).spawn(move || run_writer(log));
     if let Ok(handle) = spawned {
-        // A second start keeps the first writer, which does as well.
+        // A repeated call keeps the first writer thread, which serves the same buffer.
         let _ = log.writer.set(handle.thread().clone());
     }
 }
 
-/// Lines left out so far.
+/// Number of lines dropped so far.
 pub fn dropped() -> u64 {
     LOG.get().map_or(0, |log| log.dropped.load(Ordering::Relaxed))
 }
 
-/// Writes down one decision.
+/// Logs a decision at info level.
 pub fn info(part: &str, event: &str, fields: impl Serialize) {
     write("info", part, event, fields);
 }
 
-/// Writes down something that may need an operator.
+/// Logs an event that may need operator attention at warn level.
 pub fn warn(part: &str, event: &str, fields: impl Serialize) {
     write("warn", part, event, fields);
 }
@@ -147,12 +147,12 @@
             );
             bytes.extend_from_slice(line.as_bytes());
         }
-        // Nobody is left to tell when standard output is gone.
+        // A failure to write to standard output cannot be reported anywhere else.
         let _ = std::io::stdout().write_all(&bytes);
     }
 }
 
-/// Writes what waits, for the end of a process.
+/// Writes all buffered lines; called before the process exits.
 pub fn flush() {
     if let Some(log) = LOG.get() {
         let (bytes, _) = log.take();
--- a/crates/daemon/src/entry/admission.rs
+++ b/crates/daemon/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Lets requests in by fair shares, and makes the others wait or refuses them.
+//! Admission control: runs requests by fair share and queues or refuses the rest.
 
 use std::{
     collections::HashMap,
@@ -14,7 +14,7 @@
 use headlatch_types::id::OrganisationName;
 use tokio::sync::oneshot;
 
-/// Share of an organisation that the fleet file no longer names.
+/// Quota for an organisation that is no longer in the fleet file.
 const DEFAULT_QUOTA: OrganisationQuota = OrganisationQuota { share: 1, max_in_progress: None };
 
 #[derive(Debug)]
@@ -26,13 +26,13 @@
     last_number: u64,
 }
 
-/// The queue in front of an entry's dispatcher.
+/// Admission queue in front of an entry's dispatcher.
 #[derive(Debug)]
 pub struct AdmissionController {
     state: Mutex<AdmissionState>,
 }
 
-/// Leave for one request to go on; its place is given to another when this is dropped.
+/// Permission to run one request; dropping it releases the slot to the next queued request.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     admission: Arc<AdmissionController>,
@@ -40,7 +40,7 @@
 }
 
 impl AdmissionController {
-    /// A gate in front of `queue`, which lets as many requests run as `limit` says.
+    /// Creates a controller that queues in `queue` and runs up to `limit` requests concurrently.
     pub fn new(queue: FairQueue, limit: ConcurrencyLimit) -> Arc<Self> {
         let state = AdmissionState {
             queue,
@@ -56,33 +56,33 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Requests that run and that wait.
+    /// Number of running and of queued requests.
     pub fn counts(&self) -> (u32, usize) {
         self.lock().queue.counts()
     }
 
-    /// Changes the most requests that may run.
+    /// Sets the maximum of the concurrency limit.
     pub fn set_max_running(&self, max_running: u32) {
         let mut state = self.lock();
         state.limit.set_max(max_running);
         state.resize();
     }
 
-    /// An endpoint took a request.
+    /// Records that an endpoint accepted a request.
     pub fn record_accepted(&self) {
         let mut state = self.lock();
         state.limit.record_accepted();
         state.resize();
     }
 
-    /// An endpoint was full.
+    /// Records that an endpoint refused a request as busy.
     pub fn record_busy(&self, now: Moment) {
         let mut state = self.lock();
         state.limit.record_busy(now);
         state.resize();
     }
 
-    /// Refuses what has waited too long.
+    /// Refuses requests that have exceeded the queue timeout.
     pub fn expire(&self, now: Moment) {
         let mut state = self.lock();
         for number in state.queue.expire(now) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Waits for a place.
+    /// Waits until the request may run, or returns why it is refused.
     pub async fn admit(
         self: &Arc<Self>,
         now: Moment,
@@ -140,7 +140,7 @@
 
     fn resolve(&mut self, number: RequestNumber, answer: Result<(), RefusalReason>) {
         if let Some(sender) = self.waiting.remove(&number) {
-            // A caller that has gone away gives its place back by itself.
+            // If the receiver is gone, its `QueueGuard` releases the slot.
             let _ = sender.send(answer);
         }
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// A place in the queue, given back if its caller goes away while it waits.
+/// Removes a request from the queue if its future is dropped while waiting.
 struct QueueGuard<'a> {
     admission: &'a AdmissionController,
     organisation: &'a OrganisationName,
@@ -171,7 +171,7 @@
         if state.waiting.remove(&self.number).is_some() {
             state.queue.cancel(self.organisation, self.number);
         } else {
-            // It was let in just as its caller went away.
+            // The request was admitted at the same time as its caller disconnected.
             state.queue.finish(self.organisation);
             state.release();
         }
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, each with the request's id and a verdict.
+//! Responses to callers, each with the request id and a verdict.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 };
 use crate::agent::serve::decode_headers;
 
-/// Header with the request's id.
+/// Header with the request id.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Header with the verdict.
 ///
-/// On a stream the head goes out before the end is known: the header then says `may-have-run`,
-/// and a comment line at the stream's end gives the last word.
+/// The head of a stream is sent before the outcome is known, so the header says `may-have-run`; a
+/// comment line at the end of the stream carries the final verdict.
 pub const VERDICT: HeaderName = HeaderName::from_static("x-headlatch-verdict");
 
-/// When callers that were refused for load are told to come back.
+/// `Retry-After` value for requests refused because of load.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Adds the request's id and the verdict.
+/// Adds the request id and verdict headers.
 pub fn stamp(response: &mut Response, id: &RequestId, verdict: RunVerdict) {
     let headers = response.headers_mut();
     if let Ok(value) = HeaderValue::from_str(id.as_str()) {
@@ -36,7 +36,7 @@
     headers.insert(VERDICT, HeaderValue::from_static(verdict.as_str()));
 }
 
-/// An answer in JSON.
+/// Builds a JSON response.
 pub fn json(status: StatusCode, value: &serde_json::Value) -> Response {
     let mut response = Response::new(Body::from(value.to_string()));
     *response.status_mut() = status;
@@ -45,7 +45,7 @@
     response
 }
 
-/// An answer that says what is wrong.
+/// Builds an error response with an optional `Retry-After` header.
 pub fn error(error: &ApiError, retry: Option<Duration>) -> Response {
     let mut response = json(error.status, &error.body());
     if let Some(retry) = retry {
@@ -55,7 +55,7 @@
     response
 }
 
-/// An endpoint's answer with a given body.
+/// Builds the response to the caller from an endpoint's response head and a body.
 pub fn from_head(head: &Head, body: Body) -> Response {
     let mut response = Response::new(body);
     let status = u16::try_from(head.status).ok().and_then(|code| StatusCode::from_u16(code).ok());
@@ -65,10 +65,10 @@
     response
 }
 
-/// The error for a request that was refused before it was sent anywhere.
+/// The error for a request refused at admission.
 pub fn refusal(reason: RefusalReason) -> (ApiError, Option<Duration>) {
     let message = match reason {
-        RefusalReason::QueueFull => "Too many requests wait already. Try again later.",
+        RefusalReason::QueueFull => "The request queue is full. Try again later.",
         RefusalReason::QueueTimeout => "No endpoint became free in time. Try again later.",
     };
     let error = ApiError {
@@ -81,7 +81,7 @@
     (error, Some(OVERLOAD_RETRY_AFTER))
 }
 
-/// The error for a request that has no answer.
+/// The error for a request that could not be answered by an endpoint.
 pub fn failure(failure: &DispatchFailure) -> (ApiError, Option<Duration>) {
     let server = |status: StatusCode, code: &'static str, message: String| ApiError {
         status,
@@ -98,7 +98,7 @@
         }
         DispatchFailure::Busy => refusal(RefusalReason::QueueFull),
         DispatchFailure::KeyInProgress => {
-            let message = "A request with this key is in progress. Ask again for its result.";
+            let message = "A request with this key is in progress. Retry to get its result.";
             let error = server(StatusCode::CONFLICT, "key_in_progress", message.to_owned());
             (error, Some(OVERLOAD_RETRY_AFTER))
         }
@@ -112,25 +112,25 @@
             (error, Some(OVERLOAD_RETRY_AFTER))
         }
         DispatchFailure::Failed(failure) => {
-            let message = format!("The answer was lost; the request may have run: {failure}.");
+            let message = format!("The response was lost; the request may have run: {failure}.");
             (server(StatusCode::BAD_GATEWAY, "answer_lost", message), None)
         }
     }
 }
 
-/// The last event of a stream that cannot be completed.
+/// The final event of a stream that cannot be completed.
 pub fn error_event(message: &str) -> Bytes {
     let error = ApiError {
         status: StatusCode::BAD_GATEWAY,
         kind: "server_error",
         param: None,
         code: Some("stream_broken"),
-        message: format!("The answer broke off and is not whole: {message}."),
+        message: format!("The response ended before it was complete: {message}."),
     };
     Bytes::from(format!("data: {}\n\n", error.body()))
 }
 
-/// The comment that tells a stream's verdict at its end.
+/// The SSE comment with the final verdict of a stream.
 pub fn verdict_comment(verdict: RunVerdict) -> Bytes {
     Bytes::from(format!(": verdict {verdict}\n\n"))
 }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request run at one endpoint.
+//! A single attempt to run a request at one endpoint.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 
 use crate::node::{channels::ChannelCache, codec};
 
-/// How an attempt began.
+/// Outcome of starting an attempt.
 #[derive(Debug)]
 pub enum AttemptStart {
-    /// The endpoint answers.
+    /// The endpoint has sent a response head.
     Response(Box<ResponseStream>),
-    /// The agent refused: the request did not run.
+    /// The agent refused; the request did not run.
     Refused(RefusalCause, Option<LoadReport>),
-    /// It failed.
+    /// The attempt failed before a response head.
     Failed(AttemptFailure),
 }
 
-/// An attempt that broke off.
+/// A failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct AttemptFailure {
-    /// Whether the request may have run.
+    /// Whether the request ran, may have run, or did not run.
     pub verdict: RunVerdict,
-    /// What happened.
+    /// Description of the failure.
     pub message: String,
 }
 
@@ -36,27 +36,27 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 #[derive(Debug)]
 pub struct ResponseStream {
-    /// The head.
+    /// The response head.
     pub head: Head,
-    /// How busy the endpoint is.
+    /// Load of the endpoint, if reported.
     pub load: Option<LoadReport>,
     reader: FrameReader,
 }
 
-/// The next part of an answer.
+/// A part of a response.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponsePart {
-    /// Bytes of the body.
+    /// Body bytes.
     Data(Bytes),
-    /// The whole answer has come.
+    /// End of a complete response.
     End,
 }
 
 impl ResponseStream {
-    /// The next part; an answer that breaks off or has gaps is a failure.
+    /// Reads the next part; a truncated response or a gap in the sequence is a failure.
     pub async fn next(&mut self) -> Result<ResponsePart, AttemptFailure> {
         self.reader.next_part().await
     }
@@ -86,12 +86,14 @@
             let verdict = codec::decode_verdict(end.verdict());
             AttemptStart::Failed(AttemptFailure { verdict, message: end.error })
         }
-        Ok(_) => AttemptStart::Failed(AttemptFailure::may_have_run("the answer has no head")),
+        Ok(_) => AttemptStart::Failed(AttemptFailure::may_have_run(
+            "the response does not start with a head",
+        )),
         Err(failure) => AttemptStart::Failed(failure),
     }
 }
 
-/// Reads frames and checks that they belong to the request and follow each other.
+/// Reads frames and validates their request id and sequence number.
 #[derive(Debug)]
 struct FrameReader {
     stream: Streaming<ServeFrame>,
@@ -104,14 +106,22 @@
     async fn next_frame(&mut self) -> Result<ServeFrame, AttemptFailure> {
         let frame = match self.stream.message().await {
             Ok(Some(frame)) => frame,
-            Ok(None) => return Err(AttemptFailure::may_have_run("the answer has no end")),
+            Ok(None) => {
+                return Err(AttemptFailure::may_have_run(
+                    "the response stream ended without an end frame",
+                ));
+            }
             Err(status) => return Err(AttemptFailure::may_have_run(status.message())),
         };
         if frame.request_id != self.request_id {
-            return Err(AttemptFailure::may_have_run("the answer belongs to another request"));
+            return Err(AttemptFailure::may_have_run(
+                "the response frame carries another request id",
+            ));
         }
         if frame.sequence != self.sequence {
-            return Err(AttemptFailure::may_have_run("the answer has a gap"));
+            return Err(AttemptFailure::may_have_run(
+                "the response has a gap in its frame sequence",
+            ));
         }
         self.sequence += 1;
         Ok(frame)
@@ -127,19 +137,20 @@
                 if end.body_bytes == self.body_bytes {
                     Ok(ResponsePart::End)
                 } else {
-                    Err(AttemptFailure::may_have_run("the answer is shorter than it should be"))
+                    Err(AttemptFailure::may_have_run("the response body is shorter than announced"))
                 }
             }
             Some(Part::End(end)) => {
-                // Its head has come, so that the endpoint did begin.
+                // The head was received, so the endpoint did start the request.
                 Err(AttemptFailure::may_have_run(end.error))
             }
-            _ => Err(AttemptFailure::may_have_run("the answer is out of order")),
+            _ => Err(AttemptFailure::may_have_run("unexpected frame in the response")),
         }
     }
 }
 
-/// A call that failed before any frame: only a failure to connect is certain not to have run.
+/// Classifies a call that failed before any frame: only a connection failure proves that the
+/// request did not run.
 fn read_status(status: &Status) -> AttemptFailure {
     let verdict =
         if is_connect_error(status) { RunVerdict::NotRun } else { RunVerdict::MayHaveRun };
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! What callers can ask of an entry.
+//! The HTTP API for callers: completions, the model list and plain services.
 
 use std::{
     sync::{
@@ -50,26 +50,26 @@
     trace::{HopSpan, TRACEPARENT},
 };
 
-/// Header with a caller's own key for a call that must run once.
+/// Header with the caller's idempotency key for a request that must run at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Longest such key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// Organisation of callers where the fleet file names no keys.
+/// Organisation assigned to callers if the fleet file defines no keys.
 const ANONYMOUS: &str = "anyone";
 
-/// How often queues are looked after.
+/// Interval for expiring queued requests and updating the concurrency limit.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests an entry lets run, in percent of its part of all slots: some slack, since entries
-/// share endpoints unevenly from moment to moment and agents refuse what is too much.
+/// Concurrency limit of an entry, in percent of its share of all slots. Above 100 because the load
+/// of the entries on shared endpoints is uneven at any moment; agents refuse the excess.
 const OVERCOMMIT_PERCENT: u32 = 150;
 
-/// Requests an entry lets run however few slots there are.
+/// Minimum concurrency limit of an entry, regardless of the number of slots.
 const MIN_RUNNING: u32 = 4;
 
-/// Takes requests in.
+/// Handles caller requests.
 #[derive(Debug, Clone)]
 pub struct CallerApi {
     node: Arc<NodeContext>,
@@ -80,7 +80,7 @@
     last_request: Arc<AtomicU64>,
 }
 
-/// One request that has been read.
+/// A request whose body has been read.
 struct ReceivedRequest {
     id: RequestId,
     span: HopSpan,
@@ -92,7 +92,7 @@
 }
 
 impl CallerApi {
-    /// A desk with `limits`.
+    /// Creates the API with `limits`.
     pub fn new(
         node: Arc<NodeContext>,
         directory: Arc<EndpointDirectory>,
@@ -107,7 +107,7 @@
         Self { node, directory, dispatcher, admission, limits, last_request: Arc::default() }
     }
 
-    /// The routes for callers.
+    /// Builds the router for caller requests.
     pub fn router(&self) -> Router {
         let (text, chat, list, rest) = (self.clone(), self.clone(), self.clone(), self.clone());
         Router::new()
@@ -127,7 +127,7 @@
             .fallback(move |request: Request| async move { rest.handle_service(request).await })
     }
 
-    /// Looks after queues until the stop.
+    /// Expires queued requests and updates the concurrency limit until stopped.
     pub async fn run(self, mut signal: StopSignal) {
         let mut ticks = self.node.timer.subscribe(EXPIRE_INTERVAL);
         loop {
@@ -147,9 +147,9 @@
         let number = self.last_request.fetch_add(1, Ordering::Relaxed);
         let start = self.node.table().own().incarnation;
         let id = format!("{}-{start:x}-{number}", self.node.settings.box_id);
-        // A box's name may take all the room that an id has.
+        // A long box name can exceed the maximum id length; fall back to a hash of the name.
         let short = || format!("{:x}-{start:x}-{number}", self.node.settings.box_id.key());
-        id.parse().or_else(|_| short().parse()).expect("hexadecimal digits make a name")
+        id.parse().or_else(|_| short().parse()).expect("hexadecimal digits form a valid id")
     }
 
     fn list_models(&self) -> Response {
@@ -185,14 +185,18 @@
             Ok(response) => return response,
             Err(refusal) => refusal,
         };
-        log::info!("caller: {id} got {}, {}", refusal.error.status, refusal.error.message);
+        log::info!(
+            "caller: request {id} failed with {}: {}",
+            refusal.error.status,
+            refusal.error.message
+        );
         self.node.metrics.count_request(refusal.verdict);
         let mut response = answer::error(&refusal.error, refusal.retry);
         answer::stamp(&mut response, id, refusal.verdict);
         response
     }
 
-    /// Reads a request, within the limits.
+    /// Reads a request within the body size and time limits.
     async fn receive(&self, request: Request) -> Result<ReceivedRequest, Response> {
         let id = self.new_id();
         let (parts, body) = request.into_parts();
@@ -272,7 +276,7 @@
 
     fn message(&self, received: &ReceivedRequest, organisation: &OrganisationPlan) -> ServeRequest {
         let mut headers = received.headers.clone();
-        // The key is the caller's secret, and the context goes on with a span of our own.
+        // The bearer key must not reach the endpoint; the trace context is replaced by this span's.
         headers.remove(header::AUTHORIZATION);
         headers.remove(TRACEPARENT);
         ServeRequest {
@@ -336,7 +340,7 @@
     }
 }
 
-/// A stream on its way to its caller.
+/// A streamed response to a caller.
 struct CallerStream {
     api: CallerApi,
     answer: ActiveResponse,
@@ -356,7 +360,7 @@
                         return;
                     }
                     Err(failure) => {
-                        log::warn!("caller: {} broke off, {failure}", self.id);
+                        log::warn!("caller: response stream of {} failed: {failure}", self.id);
                         self.api.node.metrics.count_request(RunVerdict::MayHaveRun);
                         yield Ok(Frame::data(answer::error_event(&failure.message)));
                         yield Ok(Frame::data(answer::verdict_comment(RunVerdict::MayHaveRun)));
@@ -368,7 +372,7 @@
     }
 }
 
-/// An answer that is an error, with its verdict.
+/// An error response with its verdict.
 #[derive(Debug)]
 struct Refusal {
     error: ApiError,
@@ -392,21 +396,22 @@
 fn body_refusal(error: BodyError) -> Refusal {
     let (status, message) = match error {
         BodyError::TooLong => {
-            (StatusCode::PAYLOAD_TOO_LARGE, "The body is longer than this entry takes.")
+            (StatusCode::PAYLOAD_TOO_LARGE, "The body exceeds the size limit of this entry.")
         }
-        BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "The body did not come in time."),
-        BodyError::Broken => (StatusCode::BAD_REQUEST, "The body broke off."),
+        BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "The body was not received in time."),
+        BodyError::Broken => (StatusCode::BAD_REQUEST, "The body ended before it was complete."),
     };
     let mut api_error = ApiError::invalid(None, message);
     api_error.status = status;
     api_error.into()
 }
 
-/// The organisation of a caller, by its bearer key; where the file names no keys, anyone.
+/// Identifies the caller's organisation by its bearer key. If the fleet file defines no keys, the
+/// first organisation applies, or an anonymous one if there is none.
 fn identify(plan: &FleetPlan, headers: &HeaderMap) -> Result<OrganisationPlan, ApiError> {
     let keyed = plan.organisations.iter().any(|one| !one.key_digests.is_empty());
     if !keyed {
-        let name: OrganisationName = ANONYMOUS.parse().expect("a plain word is a name");
+        let name: OrganisationName = ANONYMOUS.parse().expect("the constant is a valid name");
         let named = plan.organisations.first().cloned();
         return Ok(named.unwrap_or(OrganisationPlan {
             name,
@@ -430,7 +435,8 @@
     })
 }
 
-/// The service whose prefix a path has, and the rest of the path with its query.
+/// Finds the service with the longest matching prefix; returns it with the remaining path and
+/// query.
 fn find_service<'a, 'p>(
     plan: &'a FleetPlan,
     path_and_query: &'p str,
@@ -448,7 +454,8 @@
     Ok((service, &path_and_query[service.prefix.len()..]))
 }
 
-/// The caller's key of a call that must run once, together with its service.
+/// The caller's idempotency key, scoped to the service; empty if absent or if the request is
+/// repeatable anyway.
 fn idempotency_key(
     repeatability: Repeatability,
     service: &ServicePlan,
@@ -457,7 +464,8 @@
     let Some(value) = headers.get(IDEMPOTENCY_KEY) else { return Ok(String::new()) };
     let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or_else(|| {
-        let message = format!("`Idempotency-Key` must be 1 to {MAX_KEY_BYTES} plain characters.");
+        let message =
+            format!("`Idempotency-Key` must be 1 to {MAX_KEY_BYTES} visible ASCII characters.");
         ApiError::invalid(None, message)
     })?;
     if repeatability == Repeatability::Repeatable {
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints can answer a request, from what their agents have said.
+//! Directory of the endpoints that can serve a request, based on the records of their agents.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,14 +20,14 @@
 
 use crate::node::{NodeContext, admin::ReadyFlag};
 
-/// Sets of one model that are remembered, so that boxes on an older version still get requests
-/// while versions change.
+/// Number of set keys kept per model, so that boxes on an older version still receive requests
+/// during a rollout.
 const MAX_SETS_PER_MODEL: usize = 4;
 
-/// How often endpoints that are gone are forgotten.
+/// Interval for removing endpoints that have left.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestTarget {
     /// A model.
@@ -36,7 +36,7 @@
     Service(ServiceName),
 }
 
-/// Endpoints by what they serve, and the picker among them.
+/// Endpoints by the model or service they serve, with the endpoint picker.
 #[derive(Debug)]
 pub struct EndpointDirectory {
     node: Arc<NodeContext>,
@@ -45,7 +45,7 @@
 }
 
 impl EndpointDirectory {
-    /// The directory of an entry.
+    /// Creates the directory of an entry.
     pub fn new(node: Arc<NodeContext>) -> Self {
         let seed = node.settings.box_id.key() ^ node.table().own().incarnation;
         let rng = SmallRng::seed_from_u64(seed);
@@ -53,12 +53,12 @@
         Self { node, sets: Mutex::default(), picker: Mutex::new(picker) }
     }
 
-    /// The picker.
+    /// Locks the endpoint picker.
     pub fn picker(&self) -> MutexGuard<'_, EndpointPicker> {
         self.picker.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Follows configuration and membership until the stop.
+    /// Tracks configuration and membership until stopped, and maintains the readiness flag.
     pub async fn run(self: Arc<Self>, ready: ReadyFlag, mut signal: StopSignal) {
         let mut ticks = self.node.timer.subscribe(REFRESH_INTERVAL);
         let mut changes = self.node.watch_config();
@@ -100,7 +100,7 @@
         self.node.channels.retain(|address| alive.iter().any(|(_, other)| other == address));
     }
 
-    /// Endpoints that can answer a request for `target`, with their addresses.
+    /// Healthy endpoints that serve `target`, with their addresses.
     pub fn candidates(&self, target: &RequestTarget) -> Vec<(Candidate, SocketAddr)> {
         let now = self.node.now();
         let sets = match target {
@@ -124,7 +124,7 @@
         sets.get(name).map(|known| known.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Slots of all endpoints, and entries that share them, this one among them.
+    /// Total slots of all endpoints, and the number of entries that share them, including this one.
     pub fn capacity(&self) -> (u32, u32) {
         let now = self.node.now();
         let table = self.node.table();
@@ -135,7 +135,7 @@
         (total, 1 + entries as u32)
     }
 
-    /// The models that some endpoint serves now.
+    /// The models that at least one endpoint currently serves.
     pub fn served_models<'a>(&self, models: &'a [ModelPlan]) -> Vec<&'a ModelPlan> {
         let serves = |model: &&ModelPlan| {
             !self.candidates(&RequestTarget::Model(model.name.clone())).is_empty()
--- a/crates/daemon/src/entry/dispatch.rs
+++ b/crates/daemon/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts until a request has an answer, or must not be tried again.
+//! Dispatches a request to endpoints, retrying until it is answered or must not be retried.
 
 use std::{
     sync::{Arc, Mutex},
@@ -21,52 +21,52 @@
 };
 use crate::node::NodeContext;
 
-/// Attempts of one request.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Largest answer that is kept until it is whole.
+/// Maximum size in bytes of a response that is buffered before it is sent to the caller.
 const MAX_BUFFERED_RESPONSE: usize = 64 << 20;
 
-/// When callers are told to come back if nothing can serve them.
+/// `Retry-After` value for requests that no endpoint can serve.
 pub const NOT_SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request on its way to an endpoint.
+/// A request to be dispatched.
 #[derive(Debug, Clone)]
 pub struct DispatchRequest {
-    /// What it is for.
+    /// The model or service requested.
     pub target: RequestTarget,
-    /// Whether it may be repeated.
+    /// Whether the request may be sent more than once.
     pub repeatability: Repeatability,
-    /// The message, without what differs between attempts.
+    /// The message, without the fields that are set per attempt.
     pub message: ServeRequest,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt's prefix, for cache affinity.
     pub affinity: Option<u64>,
-    /// When the caller's time is over.
+    /// Time after which the request is no longer retried.
     pub deadline: Moment,
 }
 
-/// Why a request has no answer.
+/// Why a request could not be answered.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DispatchFailure {
-    /// No endpoint serves what it is for; it did not run.
+    /// No endpoint serves the target; the request did not run.
     #[error("no endpoint serves this at the moment")]
     NotServing,
-    /// Every endpoint is busy; it did not run.
+    /// Every endpoint is busy; the request did not run.
     #[error("every endpoint is busy")]
     Busy,
-    /// A request with the same key is in progress.
+    /// A request with the same idempotency key is in progress.
     #[error("a request with the same key is in progress")]
     KeyInProgress,
-    /// A request with the same key has run, or may have run.
+    /// A request with the same idempotency key has run, or may have run.
     #[error("a request with the same key has run, or may have run")]
     KeySpent,
-    /// It failed, and must not or cannot be tried again.
+    /// The last attempt failed and the request must not or cannot be retried.
     #[error("{0}")]
     Failed(AttemptFailure),
 }
 
 impl DispatchFailure {
-    /// Whether this request may have run.
+    /// Whether the request ran, may have run, or did not run.
     pub fn verdict(&self) -> RunVerdict {
         match self {
             Self::Failed(failure) => failure.verdict,
@@ -75,15 +75,15 @@
     }
 }
 
-/// An answer on its way, with the endpoint it comes from.
+/// A response in progress, with the endpoint that sends it.
 #[derive(Debug)]
 pub struct ActiveResponse {
-    /// The answer.
+    /// The response stream.
     pub stream: ResponseStream,
     tracker: AttemptTracker,
 }
 
-/// Counts an attempt at its endpoint until it ends.
+/// Counts an attempt as in progress at its endpoint until dropped.
 #[derive(Debug)]
 struct AttemptTracker {
     directory: Arc<EndpointDirectory>,
@@ -98,7 +98,7 @@
 }
 
 impl ActiveResponse {
-    /// The next part of the answer.
+    /// Reads the next part of the response and records success or failure of the endpoint.
     pub async fn next(&mut self) -> Result<ResponsePart, AttemptFailure> {
         let part = self.stream.next().await;
         match &part {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Sends requests to endpoints.
+/// Dispatches requests to endpoints within a retry budget.
 #[derive(Debug)]
 pub struct RequestDispatcher {
     node: Arc<NodeContext>,
@@ -125,7 +125,7 @@
 }
 
 impl RequestDispatcher {
-    /// A dispatcher that chooses from `directory` and tells `gate` how full endpoints are.
+    /// Creates a dispatcher that picks from `directory` and reports endpoint load to `admission`.
     pub fn new(
         node: Arc<NodeContext>,
         directory: Arc<EndpointDirectory>,
@@ -135,7 +135,7 @@
         Self { node, directory, admission, budget }
     }
 
-    /// Tries endpoints until one begins to answer.
+    /// Attempts the request until an endpoint starts to respond.
     pub async fn begin(
         &self,
         request: &DispatchRequest,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Tries endpoints until one has answered in whole.
+    /// Attempts the request until an endpoint has sent a complete response.
     pub async fn complete(
         &self,
         request: &DispatchRequest,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Lets a request be tried again after `failure`, or gives the failure to report.
+    /// Permits a retry after `failure`, or returns the failure to report to the caller.
     fn allow_retry(
         &self,
         request: &DispatchRequest,
@@ -181,7 +181,7 @@
             return Err(history.final_failure(failure));
         }
         history.record(&failure);
-        log::debug!("dispatch: {} is tried again, {failure}", request.message.request_id);
+        log::debug!("dispatch: retrying {}: {failure}", request.message.request_id);
         Ok(())
     }
 
@@ -235,7 +235,8 @@
         self.handle_start(started, tracker, history)
     }
 
-    /// A request with a key always goes to the same endpoint, whose agent remembers the key.
+    /// Picks an endpoint. A request with an idempotency key always goes to the endpoint that owns
+    /// the key by rendezvous hashing, since only that endpoint's agent stores the key.
     fn choose(
         &self,
         request: &DispatchRequest,
@@ -288,13 +289,13 @@
     }
 }
 
-/// What one request has been through.
+/// The attempts made so far for one request.
 #[derive(Debug, Default)]
 struct AttemptHistory {
     attempts: u32,
     tried: Vec<BoxId>,
     last: Option<DispatchFailure>,
-    /// What the attempts so far came to, all together.
+    /// Combined verdict of all attempts so far.
     verdict: Option<RunVerdict>,
 }
 
@@ -303,7 +304,8 @@
         self.verdict = Some(failure.verdict().after(self.verdict));
     }
 
-    /// The failure to report: one that did not run does not undo an earlier one that may have.
+    /// The failure to report: a last attempt that did not run does not cancel an earlier one that
+    /// may have run.
     fn final_failure(&self, failure: DispatchFailure) -> DispatchFailure {
         let verdict = failure.verdict().after(self.verdict);
         if verdict == failure.verdict() {
@@ -332,7 +334,7 @@
         match response.next().await? {
             ResponsePart::End => return Ok((response.stream.head, body.freeze())),
             ResponsePart::Data(data) if body.len() + data.len() > MAX_BUFFERED_RESPONSE => {
-                let message = "the answer is too long; ask for a stream".to_owned();
+                let message = "the response exceeds the buffer limit; request a stream".to_owned();
                 return Err(AttemptFailure { verdict: RunVerdict::MayHaveRun, message });
             }
             ResponsePart::Data(data) => body.extend_from_slice(&data),
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes requests in from callers and sends each to an endpoint that can answer it.
+//! The entry: accepts requests from callers and routes each to an endpoint that can serve it.
 
 pub mod admission;
 pub mod answer;
@@ -34,23 +34,23 @@
 
 use self::{callers::CallerApi, directory::EndpointDirectory, status::StatusWriter};
 
-/// Time after which the balancer in front has noticed that an entry is not ready.
+/// Time to wait before shutdown so that the upstream load balancer sees the failed readiness check.
 const READINESS_DELAY: Duration = Duration::from_secs(3);
 
-/// An entry that runs.
+/// A running entry.
 #[derive(Debug)]
 pub struct RunningEntry {
-    /// What its parts share.
+    /// State shared by all components of the daemon.
     pub node: Arc<NodeContext>,
-    /// Where it takes requests in.
+    /// Address that accepts caller requests.
     pub listen: SocketAddr,
-    /// Where it answers health checks.
+    /// Address of the admin listener: health checks, metrics and status.
     pub admin: SocketAddr,
     ready: ReadyFlag,
-    /// Stops taking requests in.
+    /// Stops the caller listener.
     stop_callers: StopHandle,
     callers: tokio::task::JoinHandle<()>,
-    /// Stops the rest.
+    /// Stops all other tasks.
     stop: StopHandle,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -101,7 +101,7 @@
             tokio::spawn(api.run(signal)),
             tokio::spawn(async move {
                 if let Err(error) = served.await {
-                    log::error!("entry: the control listener failed, {error}");
+                    log::error!("entry: control listener failed: {error}");
                 }
             }),
         ];
@@ -109,23 +109,23 @@
         Ok(Self { node, listen, admin, ready, stop_callers, callers, stop, tasks })
     }
 
-    /// Leaves: finishes what is in progress and stops.
+    /// Shuts down gracefully: announces the departure, drains requests in progress and stops.
     pub async fn leave(self) {
         log::info!("entry: leaving");
         self.ready.set(false);
         self.node.update_record(true, |record| record.leaving = true);
         tokio::time::sleep(READINESS_DELAY).await;
         self.stop_callers.stop();
-        // The server itself ends once its requests have, or the drain is over.
+        // The server task ends when its requests have finished or the drain timeout expires.
         let _ = self.callers.await;
         self.stop.stop();
         for task in self.tasks {
-            // Nothing of a caller's is left in these.
+            // These tasks hold no caller requests, so a short timeout is enough.
             let _ = tokio::time::timeout(Duration::from_secs(1), task).await;
         }
     }
 
-    /// Ends at once, as if the box had died.
+    /// Stops immediately without draining, as in a crash of the box.
     pub fn kill(self) {
         self.stop_callers.stop();
         self.stop.stop();
--- a/crates/daemon/src/entry/openai.rs
+++ b/crates/daemon/src/entry/openai.rs
@@ -1,4 +1,4 @@
-//! The completions API that model servers share: what callers send and expect.
+//! Request and response types of the OpenAI-compatible completions API.
 
 use bytes::Bytes;
 use headlatch_types::{digest::key_of, fleet::ModelPlan};
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Bytes of the prompt that decide where it is likely to be cached.
+/// Length of the prompt prefix that is hashed for cache affinity, in bytes.
 const AFFINITY_PREFIX_BYTES: usize = 512;
 
-/// Which of the two calls a completion is.
+/// The kind of completion call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `/v1/completions`.
@@ -19,7 +19,7 @@
 }
 
 impl CompletionKind {
-    /// Its path, here and at engines.
+    /// The request path, the same at the entry and at the engines.
     pub fn path(self) -> &'static str {
         match self {
             Self::Text => "/v1/completions",
@@ -28,34 +28,34 @@
     }
 }
 
-/// What an entry reads of a completion call; the rest is the engine's.
+/// The fields of a completion call that an entry reads; the engine interprets the rest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletionCall {
-    /// The model or adapter asked for.
+    /// The requested model or adapter.
     pub model: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt prefix and the model name.
     pub affinity: u64,
 }
 
-/// An error in the form that client libraries of model servers read.
+/// An error in the format that OpenAI client libraries parse.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiError {
     /// HTTP status.
     pub status: StatusCode,
-    /// Kind of error.
+    /// Error type.
     pub kind: &'static str,
-    /// The parameter that is wrong.
+    /// The invalid parameter.
     pub param: Option<&'static str>,
-    /// Code for programs.
+    /// Machine-readable code.
     pub code: Option<&'static str>,
-    /// Sentence for people.
+    /// Human-readable message.
     pub message: String,
 }
 
 impl ApiError {
-    /// A call that is wrong in itself.
+    /// An invalid request.
     pub fn invalid(param: Option<&'static str>, message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::BAD_REQUEST,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A call for a model that does not exist.
+    /// A request for an unknown model.
     pub fn model_not_found(name: &str) -> Self {
         Self {
             status: StatusCode::NOT_FOUND,
@@ -100,10 +100,10 @@
     messages: Option<Value>,
 }
 
-/// Reads a completion call.
+/// Parses a completion call.
 pub fn read_call(kind: CompletionKind, body: &Bytes) -> Result<CompletionCall, ApiError> {
     let raw: RawCompletion = serde_json::from_slice(body).map_err(|error| {
-        ApiError::invalid(None, format!("The body is not such a call: {error}."))
+        ApiError::invalid(None, format!("The body is not a valid completion call: {error}."))
     })?;
     let Some(Value::String(model)) = raw.model else {
         return Err(ApiError::invalid(Some("model"), "You must give a model, as a string."));
@@ -128,7 +128,7 @@
     Ok(CompletionCall { affinity: key_of(prefix) ^ key_of(model.as_bytes()), model, stream })
 }
 
-/// The answer to `/v1/models`.
+/// The response body of `/v1/models`.
 pub fn model_list(models: &[&ModelPlan]) -> Value {
     let names = models.iter().flat_map(|model| model.caller_names());
     let rows: Vec<Value> = names
--- a/crates/daemon/src/entry/status.rs
+++ b/crates/daemon/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! Status for operators: one object per failure domain, written by one of its entries.
+//! Operator status: one object per failure domain, written by one of its entries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,26 +15,26 @@
 use super::answer;
 use crate::{node::NodeContext, platform::WriteCondition, timer::unix_time};
 
-/// How often status is looked at.
+/// Interval between status checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks after which status is written even if nothing has changed, so that readers can tell a
-/// quiet domain from one that is cut off.
+/// Number of checks after which status is written even if unchanged, so that readers can
+/// distinguish an idle domain from an unreachable one.
 const FORCED_WRITE_CHECKS: u32 = 10;
 
-/// Writes the status of this entry's domain.
+/// Writes the status of this entry's failure domain.
 #[derive(Debug, Clone)]
 pub struct StatusWriter {
     node: Arc<NodeContext>,
 }
 
 impl StatusWriter {
-    /// A writer for the domain of `node`.
+    /// Creates a writer for the failure domain of `node`.
     pub fn new(node: Arc<NodeContext>) -> Self {
         Self { node }
     }
 
-    /// Adds `/status`.
+    /// Adds the `/status` route.
     pub fn add_routes(&self, router: Router) -> Router {
         let writer = self.clone();
         router.route(
@@ -46,7 +46,7 @@
         )
     }
 
-    /// Runs until the stop.
+    /// Writes status periodically until stopped.
     pub async fn run(self, mut signal: StopSignal) {
         let mut ticks = self.node.timer.subscribe(CHECK_INTERVAL);
         let mut last: Vec<NodeStatus> = Vec::new();
@@ -74,13 +74,13 @@
     async fn write(&self, status: &DomainStatus) {
         let key = format!("{STATUS_PREFIX}{}", status.domain);
         let text = serde_json::to_string(status).expect("status has only string keys");
-        // Two writers for a moment do no harm: each writes the whole of what it sees.
+        // Concurrent writers during a membership change are harmless: each writes a full object.
         if let Err(error) = self.node.store.write(&key, WriteCondition::Always, text).await {
-            log::debug!("status: {error}");
+            log::debug!("status: write failed: {error}");
         }
     }
 
-    /// Whether this entry is the one of its domain that writes.
+    /// Whether this entry is the elected writer of its failure domain, by rendezvous hashing.
     fn is_writer(&self, now: Moment) -> bool {
         let table = self.node.table();
         let own = table.own();
@@ -91,7 +91,7 @@
         winner(own.domain.key(), keys) == Some(own.id.key())
     }
 
-    /// The status of this domain as this entry sees it.
+    /// The status of this failure domain as seen by this entry.
     pub fn status(&self) -> DomainStatus {
         let now = self.node.now();
         let table = self.node.table();
@@ -109,7 +109,7 @@
     }
 }
 
-/// A node's status without what changes all the time.
+/// A node's status with the fields that change continuously zeroed, for comparison.
 fn without_volatile_fields(status: &NodeStatus) -> NodeStatus {
     let mut stable = status.clone();
     stable.silent_ms = 0;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemons of headlatch: entries, which take requests in, and agents, which look after the
+//! The headlatch daemons: entries, which accept and route requests, and agents, which manage the
 //! endpoint on their box.
 
 pub mod agent;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: text or JSON lines, with a fixed prefix for each part.
+//! Logging in text or JSON lines; each message starts with the name of its component.
 
 use error_stack::{Report, ResultExt};
 use headlatch_types::settings::{LogFormat, LogLevel, LogSettings};
@@ -6,7 +6,7 @@
 
 use crate::{error::DaemonError, timer::unix_time};
 
-/// Sets up logging to standard error for the whole process.
+/// Initializes process-wide logging to standard error.
 pub fn start(settings: &LogSettings) -> Result<(), Report<DaemonError>> {
     let dispatch = fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `headlatchd`: runs an entry or an agent.
+//! `headlatchd`: the entry and agent daemons.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus' text form.
+//! Metrics in the Prometheus text format.
 
 use headlatch_core::direct::size_class::SizeClass;
 use headlatch_types::RunVerdict;
@@ -7,31 +7,31 @@
     TextEncoder,
 };
 
-/// Bounds of latency buckets, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5, 10.0, 60.0];
 
-/// How far a request has come, or what became of it.
+/// A stage or the final outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStep {
-    /// It came.
+    /// Received from a caller.
     Received,
-    /// A server was chosen for it.
+    /// Admitted and assigned to a server.
     Admitted,
-    /// It was answered whole, and its answer began within the objective.
+    /// Completed, with the first byte within the latency objective.
     InTime,
-    /// It was answered whole, but later.
+    /// Completed, with the first byte later than the latency objective.
     Late,
-    /// It was refused and has not run.
+    /// Refused without having run.
     Refused,
-    /// It failed and may have run.
+    /// Failed; it may have run.
     Failed,
-    /// Its answer began and ended early.
+    /// The response started but ended before it was complete.
     Truncated,
 }
 
 impl RequestStep {
-    /// The name in metrics.
+    /// The `step` label value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Received => "came",
@@ -165,82 +165,82 @@
         self.refusals.with_label_values(&[cause]).inc();
     }
 
-    /// Counts a step of a request to `route` whose size stands at `size` among those of the route.
+    /// Counts a step of a request to `route`, with `size` as its size class within the route.
     pub fn count_step(&self, route: &str, size: SizeClass, step: RequestStep) {
         self.steps.with_label_values(&[route, size.as_str(), step.as_str()]).inc();
     }
 
-    /// Steps of requests to `route` counted so far.
+    /// Number of times `step` was counted for `route` and `size`.
     pub fn steps(&self, route: &str, size: SizeClass, step: RequestStep) -> u64 {
         self.steps.with_label_values(&[route, size.as_str(), step.as_str()]).get()
     }
 
-    /// Counts an unknown header of an answer.
+    /// Counts an unknown header in a server's response.
     pub fn count_unknown_header(&self, name: &str) {
         self.unknown_headers.with_label_values(&[name]).inc();
     }
 
-    /// Unknown headers counted under this name so far.
+    /// Number of unknown headers counted under `name`.
     pub fn unknown_headers(&self, name: &str) -> u64 {
         self.unknown_headers.with_label_values(&[name]).get()
     }
 
-    /// Counts a signal of a server that changes routing.
+    /// Counts a server signal that affects routing.
     pub fn count_server_signal(&self, signal: &str) {
         self.server_signals.with_label_values(&[signal]).inc();
     }
 
-    /// Counts a malformed signal of a server.
+    /// Counts a malformed server signal.
     pub fn count_malformed_signal(&self, signal: &str) {
         self.malformed_signals.with_label_values(&[signal]).inc();
     }
 
-    /// Malformed signals of this kind so far.
+    /// Number of malformed signals of this kind.
     pub fn malformed_signals(&self, signal: &str) -> u64 {
         self.malformed_signals.with_label_values(&[signal]).get()
     }
 
-    /// Sets the number of servers with a rate limit.
+    /// Sets the number of servers that currently have a rate limit.
     pub fn set_rate_limits(&self, count: usize) {
         self.rate_limits.set(count as i64);
     }
 
-    /// Counts servers that their signals excluded when a request was refused.
+    /// Counts servers that were excluded by their signals when a request was refused.
     pub fn count_excluded(&self, signal: &str, count: u32) {
         self.excluded_servers.with_label_values(&[signal]).inc_by(count.into());
     }
 
-    /// Notes the time to the first byte of an answer.
+    /// Observes the time to the first byte of a response.
     pub fn observe_first_byte(&self, kind: &str, seconds: f64) {
         self.first_byte.with_label_values(&[kind]).observe(seconds);
     }
 
-    /// Counts bytes of chunks, from `origin`, `store` or `peer`, or `up` to peers.
+    /// Counts chunk bytes received from `origin`, `store` or `peer`, or uploaded to peers (`up`).
     pub fn count_chunk(&self, way: &str, bytes: u64) {
         self.chunk_bytes.with_label_values(&[way]).inc_by(bytes);
     }
 
-    /// Counts a failed fetch.
+    /// Counts a failed chunk fetch by cause.
     pub fn count_chunk_failure(&self, cause: &str) {
         self.chunk_failures.with_label_values(&[cause]).inc();
     }
 
-    /// Counts bytes of gossip, `in` or `out`.
+    /// Counts gossip bytes, `in` or `out`.
     pub fn count_gossip(&self, way: &str, bytes: usize) {
         self.gossip_bytes.with_label_values(&[way]).inc_by(bytes as u64);
     }
 
-    /// Sets the revision in force.
+    /// Sets the active configuration revision.
     pub fn set_revision(&self, revision: u64) {
         self.revision.set(revision as i64);
     }
 
-    /// Sets the number of nodes in a state.
+    /// Sets the number of nodes in `state`.
     pub fn set_nodes(&self, state: &str, count: usize) {
         self.nodes.with_label_values(&[state]).set(count as i64);
     }
 
-    /// Sets the age of this process's copy of a topic, in milliseconds.
+    /// Sets the age of this process's copy of a store topic, in milliseconds.
     pub fn set_fact_age(&self, topic: &str, millis: u64) {
         self.fact_ages.with_label_values(&[topic]).set(millis as i64);
     }
@@ -250,17 +250,17 @@
         self.in_progress.set(count as i64);
     }
 
-    /// Requests counted with a verdict so far.
+    /// Number of requests counted with `verdict`.
     pub fn requests(&self, verdict: RunVerdict) -> u64 {
         self.requests.with_label_values(&[verdict.as_str()]).get()
     }
 
-    /// Bytes of chunks counted for a way so far.
+    /// Number of chunk bytes counted under the label `way`.
     pub fn chunk_bytes(&self, way: &str) -> u64 {
         self.chunk_bytes.with_label_values(&[way]).get()
     }
 
-    /// All metrics as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut out);
--- a/crates/daemon/src/node/admin.rs
+++ b/crates/daemon/src/node/admin.rs
@@ -1,4 +1,4 @@
-//! Health checks and metrics of a daemon.
+//! Health check and metrics endpoints of a daemon.
 
 use std::sync::{
     Arc,
@@ -14,17 +14,17 @@
 
 use super::NodeContext;
 
-/// Whether a daemon is ready for work.
+/// Readiness of a daemon, as reported by `/readyz`.
 #[derive(Debug, Clone, Default)]
 pub struct ReadyFlag(Arc<AtomicBool>);
 
 impl ReadyFlag {
-    /// Sets it.
+    /// Sets the readiness.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
     }
 
-    /// Reads it.
+    /// Whether the daemon is ready.
     pub fn is_ready(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -47,7 +47,7 @@
         .route("/metrics", get(move || async move { text(StatusCode::OK, metrics.metrics.text()) }))
 }
 
-/// A plain text answer.
+/// Builds a plain text response.
 pub fn text(status: StatusCode, text: String) -> Response {
     let mut response = Response::new(Body::from(text));
     *response.status_mut() = status;
--- a/crates/daemon/src/node/codec.rs
+++ b/crates/daemon/src/node/codec.rs
@@ -1,4 +1,4 @@
-//! Wire messages to checked types and back.
+//! Conversion between wire messages and validated types.
 
 use headlatch_core::{
     burst::{ChunkSet, DrawPool, DrawTicket, SwarmNote},
@@ -7,11 +7,11 @@
 use headlatch_types::{ChunkIndex, RunVerdict, fleet::SetKey, quantity::ConfigRevision};
 use headlatch_wire as wire;
 
-/// A message that is not what it should be.
+/// A message with a missing or invalid field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("field {field} of a message is missing or wrong")]
+#[error("message field {field} is missing or invalid")]
 pub struct DecodeError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
 }
 
@@ -19,7 +19,7 @@
     DecodeError { field }
 }
 
-/// A record as a message.
+/// Encodes a node record.
 pub fn encode_record(record: &NodeRecord) -> wire::NodeRecord {
     let kind = match record.kind {
         NodeKind::Entry => wire::NodeKind::Entry,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A record from a message.
+/// Decodes and validates a node record.
 pub fn decode_record(message: wire::NodeRecord) -> Result<NodeRecord, DecodeError> {
     let kind = match message.kind() {
         wire::NodeKind::Entry => NodeKind::Entry,
@@ -93,7 +93,7 @@
     })
 }
 
-/// A packet as a message.
+/// Encodes a gossip packet.
 pub fn encode_packet(packet: &GossipPacket) -> wire::GossipPacket {
     wire::GossipPacket {
         records: packet.records.iter().map(encode_record).collect(),
@@ -110,7 +110,7 @@
     u32::from(beat.in_progress) | u32::from(beat.fetched_permille) << 16
 }
 
-/// A packet from a message; records that are wrong are left out.
+/// Decodes a gossip packet; invalid records are skipped.
 pub fn decode_packet(message: wire::GossipPacket) -> GossipPacket {
     let keyed_beats = message.beat_keys.into_iter().zip(message.beats);
     let beat_fields = message.versions.into_iter().zip(message.figures).zip(message.revisions);
@@ -131,7 +131,7 @@
     }
 }
 
-/// A note as a message.
+/// Encodes a swarm note.
 pub fn encode_note(note: &SwarmNote) -> wire::SwarmNote {
     use wire::swarm_note::Note;
     let note = match note {
@@ -163,7 +163,7 @@
         .ok_or(invalid("ticket"))
 }
 
-/// A note from a message about a manifest of `chunks` chunks.
+/// Decodes a swarm note and validates its chunk indices against a manifest of `chunks` chunks.
 pub fn decode_note(message: wire::SwarmNote, chunks: u32) -> Result<SwarmNote, DecodeError> {
     use wire::swarm_note::Note;
     let checked =
@@ -180,7 +180,7 @@
     })
 }
 
-/// A verdict as a message.
+/// Encodes a verdict.
 pub fn encode_verdict(verdict: RunVerdict) -> wire::Verdict {
     match verdict {
         RunVerdict::Ran => wire::Verdict::Ran,
@@ -189,7 +189,7 @@
     }
 }
 
-/// A verdict from a message; what is not known may have run.
+/// Decodes a verdict; an unspecified one is treated as may have run.
 pub fn decode_verdict(verdict: wire::Verdict) -> RunVerdict {
     match verdict {
         wire::Verdict::Ran => RunVerdict::Ran,
--- a/crates/daemon/src/node/gossip.rs
+++ b/crates/daemon/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: a datagram a second to some other node, and a few at once when there is news.
+//! Gossip: one datagram per second to another node, and several at once for urgent updates.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,10 +12,10 @@
 use super::{NodeContext, codec};
 use crate::timer::unix_time;
 
-/// Largest datagram taken; those sent are a good deal smaller.
+/// Receive buffer size; datagrams that this node sends are much smaller.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// Runs gossip on `socket` until the stop.
+/// Runs gossip on `socket` until stopped.
 pub async fn run(node: Arc<NodeContext>, socket: UdpSocket, mut signal: StopSignal) {
     let mut rng = SmallRng::seed_from_u64(node.settings.box_id.key());
     let mut ticks = node.timer.subscribe(GOSSIP_INTERVAL);
@@ -24,7 +24,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => receive(&node, &socket, &buffer[..length], from).await,
-                Err(error) => log::debug!("gossip: receiving failed, {error}"),
+                Err(error) => log::debug!("gossip: receive failed: {error}"),
             },
             tick = ticks.next() => {
                 let Some(now) = tick else { return };
@@ -60,14 +60,14 @@
     let bytes = codec::encode_packet(packet).encode_to_vec();
     node.metrics.count_gossip("out", bytes.len());
     if let Err(error) = socket.send_to(&bytes, target).await {
-        log::debug!("gossip: sending to {target} failed, {error}");
+        log::debug!("gossip: send to {target} failed: {error}");
     }
 }
 
 async fn receive(node: &Arc<NodeContext>, socket: &UdpSocket, bytes: &[u8], from: SocketAddr) {
     node.metrics.count_gossip("in", bytes.len());
     let Ok(message) = wire::GossipPacket::decode(bytes) else {
-        log::debug!("gossip: a datagram of {} bytes is no packet", bytes.len());
+        log::debug!("gossip: discarded an invalid datagram of {} bytes", bytes.len());
         return;
     };
     let packet = codec::decode_packet(message);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Reads the configuration of a node that has a newer one.
+/// Fetches the configuration from a node that has announced a newer revision.
 async fn fetch_config(node: Arc<NodeContext>, address: SocketAddr) {
     let above_revision = node.config().revision.number();
     let request = ReadConfigRequest { above_revision };
@@ -102,7 +102,7 @@
                 node.offer_config(revision, &reply.text);
             }
         }
-        Err(status) => log::debug!("config: {address} did not answer, {}", status.message()),
+        Err(status) => log::debug!("config: fetch from {address} failed: {}", status.message()),
     }
 }
 
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! What entries and agents have in common: identity, membership, configuration, control listener.
+//! State and services shared by entries and agents: identity, membership, configuration and the
+//! control listener.
 
 pub mod admin;
 pub mod channels;
@@ -29,30 +30,30 @@
 
 use self::channels::ChannelCache;
 
-/// What the parts of one daemon share.
+/// State shared by the components of one daemon.
 #[derive(Debug)]
 pub struct NodeContext {
-    /// Settings that entries and agents share.
+    /// Settings common to entries and agents.
     pub settings: NodeSettings,
-    /// Time.
+    /// Timer service.
     pub timer: SharedTimer,
-    /// The platform.
+    /// Client of the platform's object store.
     pub store: SharedStore,
-    /// Metrics.
+    /// Metrics of this node.
     pub metrics: NodeMetrics,
-    /// Traces.
+    /// Span factory for traces.
     pub spans: SpanFactory,
     /// Connections to other nodes.
     pub channels: ChannelCache,
     table: Mutex<NodeTable>,
     holder: Mutex<ConfigHolder>,
     config: watch::Sender<Arc<FleetConfig>>,
-    /// Wakes the gossip loop when there is news of its own.
+    /// Wakes the gossip loop to send an urgent update immediately.
     pub(crate) urgent_gossip: Notify,
 }
 
 impl NodeContext {
-    /// The context of a node that other nodes reach at `control`.
+    /// Creates the context of a node whose control address is `control`.
     pub fn new(
         settings: NodeSettings,
         kind: NodeKind,
@@ -89,27 +90,27 @@
         })
     }
 
-    /// The time.
+    /// The current time of the timer service.
     pub fn now(&self) -> Moment {
         self.timer.now()
     }
 
-    /// The membership table.
+    /// Locks the membership table.
     pub fn table(&self) -> MutexGuard<'_, NodeTable> {
         self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The configuration in force here.
+    /// The active configuration of this node.
     pub fn config(&self) -> Arc<FleetConfig> {
         self.config.borrow().clone()
     }
 
-    /// Tells of every change of the configuration in force.
+    /// Subscribes to changes of the active configuration.
     pub fn watch_config(&self) -> watch::Receiver<Arc<FleetConfig>> {
         self.config.subscribe()
     }
 
-    /// Changes this node's own record and lets others know soon if `urgent`.
+    /// Updates this node's own record; gossips it immediately if `urgent`.
     pub fn update_record(&self, urgent: bool, change: impl FnOnce(&mut NodeRecord)) {
         self.table().update(change);
         if urgent {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Takes over a configuration if it is newer than the one in force.
+    /// Activates a configuration if it is newer than the active one.
     pub fn offer_config(&self, revision: ConfigRevision, text: &str) {
         let mut holder = self.holder.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         match holder.offer(revision, text) {
@@ -130,7 +131,7 @@
             }
             OfferOutcome::Stale => {}
             OfferOutcome::Unreadable(error) => {
-                log::error!("config: revision {revision} cannot be read and is left out, {error}");
+                log::error!("config: revision {revision} is invalid and was ignored: {error}");
             }
         }
     }
--- a/crates/daemon/src/node/service.rs
+++ b/crates/daemon/src/node/service.rs
@@ -1,4 +1,4 @@
-//! The control service that nodes offer each other.
+//! The gRPC control service between nodes.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -12,19 +12,19 @@
 
 use super::NodeContext;
 
-/// Largest message between nodes: a manifest, a fleet file or a request with its body.
+/// Maximum message size between nodes: a manifest, a fleet file or a request with its body.
 pub const MAX_MESSAGE_BYTES: usize = 17 << 20;
 
-/// Streams of one connection that may be open at the same time.
+/// Maximum number of concurrent streams per connection.
 const MAX_STREAMS: u32 = 1024;
 
-/// Largest head of a call.
+/// Maximum size of the header list of a call, in bytes.
 const MAX_HEADER_LIST_BYTES: u32 = 16 << 10;
 
-/// How often an idle connection is tried.
+/// Interval between HTTP/2 keep-alive pings.
 const KEEP_ALIVE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// A server for the control listener, with its limits.
+/// Creates the server builder for the control listener, with its limits.
 pub fn server() -> tonic::transport::Server {
     tonic::transport::Server::builder()
         .max_concurrent_streams(MAX_STREAMS)
@@ -33,18 +33,18 @@
         .tcp_nodelay(true)
 }
 
-/// A stream of pieces of one chunk.
+/// Stream of the pieces of one chunk.
 pub type PieceStream = Pin<Box<dyn Stream<Item = Result<ChunkPiece, Status>> + Send>>;
 
-/// What an agent does for others' transfers; entries do nothing.
+/// Handles chunk transfers for other nodes; implemented by agents, absent on entries.
 pub trait SwarmHost: Send + Sync + 'static {
-    /// Takes in notes; false if this box takes no part in the transfer.
+    /// Handles swarm notes; returns false if this box does not take part in the transfer.
     fn handle_notes(&self, notes: SwarmNotes) -> bool;
-    /// Serves one fetch of a chunk.
+    /// Serves one chunk fetch.
     fn serve_chunk(&self, steps: Streaming<FetchStep>) -> PieceStream;
-    /// The text of a manifest, if it is here.
+    /// The text of a manifest, if held locally.
     fn manifest(&self, digest: Digest) -> Option<bytes::Bytes>;
-    /// The piece list of a version by its name, if it is here.
+    /// The piece list of a version by name, if held locally.
     fn piece_list(&self, name: &str) -> Option<bytes::Bytes>;
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl NodeService {
-    /// The service of `node`, with the transfers of `host`.
+    /// Creates the service of `node`, with `host` handling transfers.
     pub fn new(node: Arc<NodeContext>, host: Option<Arc<dyn SwarmHost>>) -> Self {
         Self { node, host }
     }
@@ -69,7 +69,8 @@
         &self,
         request: Request<Streaming<FetchStep>>,
     ) -> Result<Response<PieceStream>, Status> {
-        let host = self.host.as_ref().ok_or_else(|| Status::not_found("no chunks here"))?;
+        let host =
+            self.host.as_ref().ok_or_else(|| Status::not_found("this node serves no chunks"))?;
         Ok(Response::new(host.serve_chunk(request.into_inner())))
     }
 
--- a/crates/daemon/src/node/sync.rs
+++ b/crates/daemon/src/node/sync.rs
@@ -1,7 +1,7 @@
-//! Keeps the configuration and the list of members up to date with the platform.
+//! Synchronizes the configuration and the member list with the platform.
 //!
-//! A few nodes of each failure domain watch; the others hear from them by gossip, so that the
-//! platform's calls do not grow with the fleet.
+//! Only a few nodes per failure domain watch the platform; the others receive updates by gossip, so
+//! that the number of platform calls does not grow with the fleet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,22 +12,22 @@
 use super::NodeContext;
 use crate::platform::{ObjectValue, StoreError};
 
-/// Nodes of a domain that watch the platform.
+/// Number of nodes per failure domain that watch the platform.
 const WATCHERS: usize = 2;
 
-/// How long one watch waits.
+/// Maximum wait of one watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause after a failed call.
+/// Delay before retrying a failed call.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How often a node looks whether it should watch.
+/// Interval at which a non-watching node checks whether it has become a watcher.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often a watching node reads the list of members.
+/// Interval between reads of the member list by a watcher.
 const MEMBERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs until the stop.
+/// Runs the synchronization until stopped.
 pub async fn run(node: Arc<NodeContext>, mut signal: StopSignal) {
     tokio::select! {
         ((), ()) = async { tokio::join!(follow_config(&node), follow_members(&node)) } => {}
@@ -49,7 +49,7 @@
     }
 }
 
-/// Takes over what the platform answered; false if it did not.
+/// Offers the object read from the platform as configuration; returns false if the read failed.
 fn apply_read(node: &NodeContext, answer: Result<Option<ObjectValue>, StoreError>) -> bool {
     match answer {
         Ok(Some(object)) => node.offer_config(ConfigRevision::new(object.version), &object.text),
@@ -62,10 +62,10 @@
     true
 }
 
-/// Whether this node is among the few of its domain that watch.
+/// Whether this node is a watcher of its failure domain, by rendezvous hashing.
 ///
-/// Entries come before agents. A node that knows of nobody watches, so that a domain with only
-/// newcomers is never without a watcher.
+/// Entries take precedence over agents. A node that knows no other node is a watcher, so that a
+/// domain of newly started nodes always has one.
 pub fn is_watcher(node: &NodeContext) -> bool {
     let now = node.now();
     let table = node.table();
@@ -91,7 +91,7 @@
                     first = false;
                     node.table().set_seeds(members.iter().map(|member| member.control).collect());
                 }
-                Err(error) => log::debug!("members: {error}"),
+                Err(error) => log::debug!("members: read failed: {error}"),
             }
         }
         let pause = if first { RETRY_DELAY } else { MEMBERS_INTERVAL };
--- a/crates/daemon/src/platform/http.rs
+++ b/crates/daemon/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! HTTP client for the platform's object store.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
     ListedMember, ObjectStore, ObjectValue, StoreError, StoreFuture, WriteCondition, WriteOutcome,
 };
 
-/// Time for a call that does not wait.
+/// Timeout for a call, in addition to the wait of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Largest answer: a list of objects of up to 1 MiB each.
+/// Maximum response size: a list of objects of up to 1 MiB each.
 const MAX_RESPONSE: ByteSize = ByteSize::from_mib(64);
 
-/// The object API at one address.
+/// The object store at one base URL.
 #[derive(Debug)]
 pub struct HttpStore {
     url: ServiceUrl,
@@ -33,7 +33,7 @@
 }
 
 impl HttpStore {
-    /// The object API at `url`.
+    /// Creates a client for the object store at `url`.
     pub fn new(url: ServiceUrl) -> Self {
         Self { url, caller: HttpCaller::pooled() }
     }
@@ -51,7 +51,7 @@
         call.await.map_err(|error| StoreError(error.message))
     }
 
-    /// The path of the URL below the base.
+    /// The absolute request path for `path` below the base URL.
     fn path(&self, path: &str) -> String {
         let url = self.url.join(path);
         let rest = url.trim_start_matches("http://");
@@ -66,12 +66,13 @@
         let (status, headers, body) = self.get(path, time).await?;
         match status {
             StatusCode::OK => Ok(Some(ObjectValue {
-                version: version(&headers).ok_or_else(|| StoreError("no version".to_owned()))?,
+                version: version(&headers)
+                    .ok_or_else(|| StoreError("response has no valid ETag".to_owned()))?,
                 text: String::from_utf8(body.to_vec())
-                    .map_err(|_| StoreError("a value is not text".to_owned()))?,
+                    .map_err(|_| StoreError("object value is not valid UTF-8".to_owned()))?,
             })),
             StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
-            other => Err(StoreError(format!("{path} gave {other}"))),
+            other => Err(StoreError(format!("{path} returned status {other}"))),
         }
     }
 
@@ -88,7 +89,10 @@
             }
             WriteCondition::Version(version) => {
                 let tag = HeaderValue::from_str(&format!("\"{version}\""));
-                headers.insert(header::IF_MATCH, tag.expect("digits in quotes make a header"));
+                headers.insert(
+                    header::IF_MATCH,
+                    tag.expect("quoted digits form a valid header value"),
+                );
             }
             WriteCondition::Always => {}
         }
@@ -102,9 +106,9 @@
             }
             Ok((StatusCode::PRECONDITION_FAILED, ..)) => Ok(WriteOutcome::Conflict),
             Ok((status, ..)) if status.is_client_error() => {
-                Err(StoreError(format!("{key} was refused with {status}")))
+                Err(StoreError(format!("write of {key} was rejected with status {status}")))
             }
-            // A server's error may have come after the write.
+            // A server error can occur after the write took effect.
             Ok(_) => Ok(WriteOutcome::Unknown),
             Err(error) if error.verdict == RunVerdict::NotRun => Err(StoreError(error.message)),
             Err(_) => Ok(WriteOutcome::Unknown),
@@ -118,7 +122,7 @@
 
 fn read_list<'a, T: Deserialize<'a>>(status: StatusCode, body: &'a [u8]) -> Result<T, StoreError> {
     if status != StatusCode::OK {
-        return Err(StoreError(format!("a list gave {status}")));
+        return Err(StoreError(format!("list returned status {status}")));
     }
     serde_json::from_slice(body).map_err(|error| StoreError(error.to_string()))
 }
--- a/crates/daemon/src/platform/mod.rs
+++ b/crates/daemon/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and membership list, as headlatch uses them.
+//! Client interface to the platform's object store and member list.
 
 mod http;
 
@@ -9,60 +9,60 @@
 
 pub use http::HttpStore;
 
-/// An object's value and version.
+/// Value and version of an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObjectValue {
-    /// Version, which rises with every write.
+    /// Version; increases with every write.
     pub version: u64,
     /// The value.
     pub text: String,
 }
 
-/// When a write is to be carried out.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteCondition {
-    /// Only if there is no such object.
+    /// Only if the object does not exist.
     Absent,
     /// Only if the object has this version.
     Version(u64),
-    /// In any case.
+    /// Unconditionally.
     Always,
 }
 
-/// What is known of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and gave the object this version.
+    /// The write took effect and created this version.
     Written(u64),
-    /// It did not take effect: the condition did not hold.
+    /// The write did not take effect: the precondition failed.
     Conflict,
-    /// Nobody can tell; a read will.
+    /// It is unknown whether the write took effect; a read can tell.
     Unknown,
 }
 
-/// A call that the platform did not answer.
+/// A failed call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the platform does not answer: {0}")]
 pub struct StoreError(pub String);
 
-/// One box as the platform lists it.
+/// An entry of the platform's member list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedMember {
-    /// Its id.
+    /// Box id.
     #[serde(rename = "box")]
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainId,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Where other nodes reach it.
+    /// Control address.
     pub control: SocketAddr,
-    /// Whether the platform is about to take it back.
+    /// Whether the platform is about to reclaim the box.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A future that a trait object returns.
+/// Boxed future returned by [`ObjectStore`] methods.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// The platform's object API.
@@ -70,7 +70,7 @@
     /// Reads an object.
     fn read<'a>(&'a self, key: &'a str)
     -> StoreFuture<'a, Result<Option<ObjectValue>, StoreError>>;
-    /// Waits until an object has a version above `after`, for at most `wait`.
+    /// Waits up to `wait` for the object to have a version above `after`.
     fn watch<'a>(
         &'a self,
         key: &'a str,
@@ -84,14 +84,14 @@
         condition: WriteCondition,
         text: String,
     ) -> StoreFuture<'a, Result<WriteOutcome, StoreError>>;
-    /// Lists objects whose keys begin with `prefix`.
+    /// Lists the objects whose keys start with `prefix`.
     fn list<'a>(
         &'a self,
         prefix: &'a str,
     ) -> StoreFuture<'a, Result<Vec<(String, ObjectValue)>, StoreError>>;
-    /// Reads the membership list.
+    /// Reads the member list.
     fn members(&self) -> StoreFuture<'_, Result<Vec<ListedMember>, StoreError>>;
 }
 
-/// The object API shared by the parts of a process.
+/// An object store shared by the components of a process.
 pub type SharedStore = Arc<dyn ObjectStore>;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! What `headlatchd` does.
+//! Top-level commands of `headlatchd`.
 
 use std::{fs, path::Path, sync::Arc};
 
@@ -29,7 +29,7 @@
     trace::SpanFactory,
 };
 
-/// Reads the command line and does what it says.
+/// Parses the command line and runs the command.
 pub fn run() -> Result<(), Failure> {
     let command = CommandLine::parse().command;
     let (args, requested) = match &command {
@@ -108,7 +108,7 @@
     };
     logging::start(&node.log)?;
     supervisor::log_panics();
-    // Direct daemons have one small core: threads that wake each other only cost time there.
+    // Direct daemons run on a single small core, where cross-thread wake-ups are pure overhead.
     let mut builder = match direct {
         true => tokio::runtime::Builder::new_current_thread(),
         false => tokio::runtime::Builder::new_multi_thread(),
@@ -202,10 +202,11 @@
     Ok(())
 }
 
-/// Waits for a stop; on a hangup the settings are read and checked again and given to `take`.
+/// Waits for a termination signal; on SIGHUP, re-reads and validates the settings and passes them
+/// to `apply`.
 ///
-/// Bad settings are told of and change nothing. What was bound and who this process is stay as
-/// they were until the next start.
+/// Invalid settings are logged and ignored. Listen addresses and the identity of the process do not
+/// change until the next start.
 async fn wait_for_stop_or_reload(
     args: &SettingsArgs,
     apply: impl Fn(DaemonSettings),
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -1,8 +1,7 @@
-//! Keeps the parts of a process running: what ends one of them by a panic is written down, and the
-//! part begins again.
+//! Supervises background tasks: a panic is logged and the task is restarted.
 //!
-//! A request, a fact of the store or a datagram that makes a part panic may be the same at every
-//! process. A part that ended with it would leave the process alive and deaf.
+//! A request, store fact or datagram that makes a task panic can reach every process. Without a
+//! restart, the process would stay alive but no longer receive updates.
 
 use std::{
     any::Any,
@@ -16,17 +15,18 @@
 
 use crate::decisions;
 
-/// Pause before a part begins again: what made it panic may still be there, and must not take the
-/// whole processor.
+/// Delay before a restart: the cause of the panic may persist, and a restart loop must not consume
+/// the whole CPU.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs a part for ever, or until it ends by itself.
+/// Runs a task and restarts it after a panic, until it returns.
 pub fn supervise<F>(part: &'static str, start: impl Fn() -> F + Send + 'static) -> JoinHandle<()>
 where
     F: Future<Output = ()> + Send + 'static,
 {
     tokio::spawn(async move {
-        // What parts share is locked for single steps, and taken over as a panic has left it.
+        // Unwind safety: shared state is locked for single operations only, and poisoned locks are
+        // recovered with the state that the panic left.
         while let Err(panic) = AssertUnwindSafe(start()).catch_unwind().await {
             let fields = json!({ "running": part, "reason": reason(&*panic) });
             decisions::warn("life", "part_begins_again", fields);
@@ -35,7 +35,7 @@
     })
 }
 
-/// Has every panic written into the decision log, beside what goes to standard error.
+/// Installs a panic hook that writes every panic to the decision log as well as to standard error.
 pub fn log_panics() {
     let previous = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info: &PanicHookInfo<'_>| {
--- a/crates/daemon/src/timer/manual.rs
+++ b/crates/daemon/src/timer/manual.rs
@@ -1,4 +1,4 @@
-//! A clock that stands still until it is moved, for tests.
+//! A manually advanced timer for tests.
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -23,7 +23,7 @@
     subscriptions: Vec<Subscription>,
 }
 
-/// A timer service whose time is moved by hand.
+/// A timer service whose time only moves by [`ManualTimer::advance`].
 #[derive(Debug, Default)]
 pub struct ManualTimer {
     state: Mutex<ManualState>,
@@ -34,7 +34,7 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Moves the time on and sends the ticks that have become due.
+    /// Advances the time and sends the ticks that have become due.
     pub fn advance(&self, duration: Duration) {
         let mut state = self.lock();
         state.now = state.now + duration;
--- a/crates/daemon/src/timer/mod.rs
+++ b/crates/daemon/src/timer/mod.rs
@@ -1,4 +1,4 @@
-//! Time as a service that parts subscribe to.
+//! Timer service: current time and periodic ticks.
 
 mod manual;
 mod suspend;
@@ -13,29 +13,30 @@
 pub use suspend::{KernelSuspendClock, NodeClock, SuspendSource};
 pub use system::SystemTimer;
 
-/// Time of day since 1970, for what is compared across processes; zero on a clock before that.
+/// Wall-clock time since the Unix epoch, for values compared across processes; zero if the clock is
+/// set before the epoch.
 pub fn unix_time() -> Duration {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.unwrap_or_default()
 }
 
-/// Tells the time and sends ticks.
+/// Provides the current time and periodic ticks.
 pub trait TimerService: Send + Sync + std::fmt::Debug {
-    /// The time since the service began.
+    /// Time since the service was created.
     fn now(&self) -> Moment;
-    /// A subscription that ticks every `period`, for as long as it is held.
+    /// Subscribes to ticks every `period` until the stream is dropped.
     fn subscribe(&self, period: Duration) -> TickStream;
 }
 
-/// A timer service shared by the parts of a daemon.
+/// A timer service shared by the components of a daemon.
 pub type SharedTimer = Arc<dyn TimerService>;
 
-/// Ticks of one subscription; ticks that nobody took in time are left out.
+/// Ticks of one subscription; ticks that are not consumed in time are dropped.
 #[derive(Debug)]
 pub struct TickStream(mpsc::Receiver<Moment>);
 
 impl TickStream {
-    /// Waits for the next tick; none once the service is gone.
+    /// Waits for the next tick; `None` if the service was dropped.
     pub async fn next(&mut self) -> Option<Moment> {
         self.0.recv().await
     }
--- a/crates/daemon/src/timer/suspend.rs
+++ b/crates/daemon/src/timer/suspend.rs
@@ -1,4 +1,5 @@
-//! Time for which the machine was suspended: the steady clock does not count it, other machines do.
+//! A clock that includes suspended time: the monotonic clock excludes it, but time passes on other
+//! machines.
 
 use std::{
     fmt::Debug,
@@ -10,17 +11,18 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Least time after which the machine is asked again for how long it was suspended. Facts may be taken
-/// for that much younger than they are; to ask each time costs two readings of clocks a call.
+/// Minimum interval between queries of the suspended time. After a resume, facts are taken to be
+/// younger than they are for up to this interval; querying on every call would cost two clock reads per call.
 const QUERY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Tells for how long the machine has been suspended.
+/// Source of the time for which the machine was suspended.
 pub trait SuspendSource: Send + Sync + Debug {
-    /// Time for which it has been suspended since the source began.
+    /// Suspended time since the source was created.
     fn suspended(&self) -> Duration;
 }
 
-/// The kernel's clocks: the one that counts suspended time goes ahead of the one that does not.
+/// Suspended time from the kernel clocks: the lead of `CLOCK_BOOTTIME`, which includes suspension,
+/// over `CLOCK_MONOTONIC`, which does not.
 #[derive(Debug)]
 pub struct KernelSuspendClock {
     lead_at_start: Duration,
@@ -38,7 +40,7 @@
     }
 }
 
-/// How far the clock that counts suspended time is ahead; nothing where the kernel has none.
+/// Lead of the boot-time clock over the monotonic clock; zero if the kernel does not support it.
 fn boot_clock_lead() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from);
     let steady = read(ClockId::CLOCK_MONOTONIC);
@@ -48,14 +50,14 @@
     }
 }
 
-/// A clock that counts suspended time as well.
+/// A monotonic clock that includes suspended time.
 #[derive(Debug)]
 pub struct NodeClock {
     started: Instant,
     source: Box<dyn SuspendSource>,
-    /// Microseconds from its beginning to when the source was asked last, by the steady clock.
+    /// Monotonic time of the last query of the source, in microseconds since `started`.
     queried: AtomicU64,
-    /// Microseconds of suspension that it told then.
+    /// Suspended time at the last query, in microseconds.
     suspended: AtomicU64,
 }
 
@@ -66,24 +68,24 @@
 }
 
 impl NodeClock {
-    /// A clock that begins now.
+    /// Creates a clock that starts at zero now.
     pub fn new(source: Box<dyn SuspendSource>) -> Self {
         let [queried, suspended] = [0; 2].map(AtomicU64::new);
         Self { started: Instant::now(), source, queried, suspended }
     }
 
-    /// The time since it began.
+    /// Time since the clock was created, including suspended time.
     pub fn now(&self) -> Moment {
         let steady = self.started.elapsed();
         self.moment(steady)
     }
 
-    /// The same at a moment of the steady clock.
+    /// The same for an instant of the monotonic clock.
     pub fn at(&self, steady: Instant) -> Moment {
         self.moment(steady.saturating_duration_since(self.started))
     }
 
-    /// Time for which the machine was suspended since the clock began.
+    /// Suspended time since the clock was created.
     pub fn suspended(&self) -> Duration {
         let _ = self.now();
         Duration::from_micros(self.suspended.load(Ordering::Relaxed))
@@ -94,7 +96,7 @@
         let queried = self.queried.load(Ordering::Relaxed);
         if steady.saturating_sub(queried) >= QUERY_INTERVAL.as_micros() as u64 || queried == 0 {
             self.queried.store(steady.max(1), Ordering::Relaxed);
-            // Never back: what was once counted stays counted.
+            // The maximum keeps the clock monotonic if the source reports a smaller value.
             self.suspended.fetch_max(self.source.suspended().as_micros() as u64, Ordering::Relaxed);
         }
         Moment::from_micros(steady + self.suspended.load(Ordering::Relaxed))
--- a/crates/daemon/src/timer/system.rs
+++ b/crates/daemon/src/timer/system.rs
@@ -1,4 +1,4 @@
-//! The system's clock.
+//! Timer service on the system clock.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,14 +10,14 @@
 
 use super::{NodeClock, SuspendSource, TickStream, TimerService};
 
-/// A timer service on the system's clocks; it counts the time for which the machine is suspended.
+/// A timer service on the system clocks that includes suspended time.
 #[derive(Debug, Default)]
 pub struct SystemTimer {
     clock: Arc<NodeClock>,
 }
 
 impl SystemTimer {
-    /// The same with another source of suspended time.
+    /// Creates a timer with a custom source of suspended time.
     pub fn with_suspend_source(source: Box<dyn SuspendSource>) -> Self {
         Self { clock: Arc::new(NodeClock::new(source)) }
     }
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: a span per hop, with the W3C context carried through.
+//! Tracing: one span per hop, with W3C trace context propagation.
 
 use std::collections::HashMap;
 
@@ -15,17 +15,18 @@
 
 use crate::error::DaemonError;
 
-/// Header that carries the context between hops.
+/// Header that carries the trace context between hops.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// Makes the spans of one daemon.
+/// Creates the spans of one daemon.
 #[derive(Debug, Clone)]
 pub struct SpanFactory {
     provider: SdkTracerProvider,
 }
 
 impl SpanFactory {
-    /// A maker whose spans go to the collector in `settings`, or nowhere.
+    /// Creates a factory that exports spans to the collector in `settings`, or discards them if
+    /// `None`.
     pub fn new(
         service: &str,
         settings: Option<&TraceSettings>,
@@ -48,7 +49,7 @@
         Ok(Self { provider })
     }
 
-    /// Begins the span of one hop below the context in `traceparent`, if that is one.
+    /// Starts the span of a hop, with the context in `traceparent` as its parent if it is valid.
     pub fn begin(&self, name: &'static str, kind: SpanKind, traceparent: Option<&str>) -> HopSpan {
         let carrier: HashMap<String, String> = traceparent
             .map(|value| (TRACEPARENT.to_owned(), value.to_owned()))
@@ -64,33 +65,33 @@
         HopSpan { context: parent.with_span(span) }
     }
 
-    /// Begins the span of a further hop below `span`.
+    /// Starts a child span of `span` for a further hop.
     pub fn child(&self, name: &'static str, kind: SpanKind, span: &HopSpan) -> HopSpan {
         self.begin_in(name, kind, &span.context)
     }
 
-    /// Sends what has not been sent.
+    /// Exports all pending spans.
     pub fn flush(&self) {
-        // A collector that is gone at the end loses the last spans and nothing else.
+        // If the collector is unreachable at shutdown, only the last spans are lost.
         let _ = self.provider.force_flush();
     }
 }
 
-/// The span of one hop; it ends when this is dropped.
+/// The span of one hop; ends when dropped.
 #[derive(Debug, Clone)]
 pub struct HopSpan {
     context: Context,
 }
 
 impl HopSpan {
-    /// The context for the next hop.
+    /// The `traceparent` value for the next hop.
     pub fn traceparent(&self) -> String {
         let mut carrier = HashMap::new();
         TraceContextPropagator::new().inject_context(&self.context, &mut carrier);
         carrier.remove(TRACEPARENT).unwrap_or_default()
     }
 
-    /// Adds an attribute.
+    /// Sets a span attribute.
     pub fn set(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
--- a/crates/daemon/tests/command_line.rs
+++ b/crates/daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! `headlatchd` as a user meets it.
+//! Command-line behaviour of `headlatchd`: exit status, messages, and reload on SIGHUP.
 
 use std::{
     fs,
@@ -9,7 +9,10 @@
 use serde_json::{Value, json};
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_headlatchd")).args(arguments).output().expect("it starts")
+    Command::new(env!("CARGO_BIN_EXE_headlatchd"))
+        .args(arguments)
+        .output()
+        .expect("headlatchd starts")
 }
 
 fn check(settings: &str) -> Output {
@@ -106,7 +109,7 @@
     assert_that!(text, contains_substring(says));
 }
 
-/// Reads lines until one tells of `event`.
+/// Reads log lines until one records `event`.
 fn wait_for_event(lines: &mut impl Iterator<Item = std::io::Result<String>>, event: &str) {
     let wanted = format!("\"event\":\"{event}\"");
     let found = lines.by_ref().map_while(|line| line.ok()).any(|line| line.contains(&wanted));
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -1,5 +1,6 @@
-//! Entries that read a large plan over one narrow link after a loss of power: calls that join others
-//! take the link from them. All of it in virtual time.
+//! Entries that read a large plan over one narrow link after a power loss. Additional calls take
+//! bandwidth from transfers in progress, so a retry before a transfer has ended delays all of them.
+//! Runs in virtual time.
 
 use std::{
     sync::{
@@ -18,28 +19,28 @@
 use headlatch_types::ByteProgress;
 use tokio::{sync::mpsc, time::Instant};
 
-/// Bytes of a plan of some 1,500 routes.
+/// Size of a plan of about 1,500 routes, in bytes.
 const PLAN_BYTES: usize = 500_000;
 
-/// Time in which the link passes on one share to each transfer.
+/// Interval at which each transfer receives its share of the link.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Time without a byte after which the client gives an answer up.
+/// Time without data after which the client abandons a response.
 const CLIENT_SILENCE: Duration = Duration::from_secs(3);
 
-/// A store behind a link that all transfers share alike.
+/// A store behind a link that is shared equally by all transfers.
 #[derive(Debug)]
 struct NarrowStore {
     bytes_per_second: usize,
-    /// Nothing comes through from this moment on.
+    /// No data arrives from this time on.
     cut_from: Option<Instant>,
-    /// When the plan changes, for those that watch.
+    /// Time at which watches report a change of the plan.
     changed: Option<Instant>,
     transfers: AtomicU32,
     calls: AtomicU32,
 }
 
-/// Counts a transfer for as long as it is under way.
+/// Counts a transfer while it is in progress.
 struct TransferGuard<'a>(&'a AtomicU32);
 
 impl Drop for TransferGuard<'_> {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Time until `readers` have read the plan that begin together, and the calls that this took.
+/// Starts `readers` at once; returns the time until all have read the plan and the number of calls.
 async fn time_to_read(store: NarrowStore, readers: usize) -> (Duration, u32) {
     let (begun, store) = (Instant::now(), Arc::new(store));
     let (listed, mut lists) = mpsc::unbounded_channel();
@@ -135,7 +136,7 @@
     (begun.elapsed(), store.calls.load(Ordering::Relaxed))
 }
 
-/// A narrow link is not made narrower by those who wait for it.
+/// Readers that wait on a narrow link must not add load by repeating their calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn readers_behind_a_narrow_link_take_no_longer_than_their_bytes() {
@@ -149,7 +150,8 @@
     }
 }
 
-/// A transfer that has stopped is no reason to wait: another call is made within a second and a half.
+/// A stalled transfer must not block reading: another call is due within 1.5 s of the stall; the test
+/// allows 2.1 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_transfer_that_has_stopped_is_joined_by_another() {
@@ -163,8 +165,8 @@
     expect_that!(store.calls.load(Ordering::Relaxed), ge(2));
 }
 
-/// A change that comes slowly is not given up as a lost watch: whatever part of the watch's wait it is
-/// made in, it takes its bytes' time and no call besides.
+/// A large change that arrives slowly must not be treated as a lost watch: at whatever time during
+/// the watch it is made, it takes only its transfer time and no additional call.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_large_change_over_a_narrow_link_is_read_to_its_end() {
--- a/crates/daemon/tests/panics.rs
+++ b/crates/daemon/tests/panics.rs
@@ -1,5 +1,5 @@
-//! What a panic in one part of an entry leaves of the others: a fact or a request that makes one
-//! process panic makes all of them panic, as all of them get it.
+//! A panic in one task of an entry must not disable the entry. A fact or request that causes a
+//! panic reaches every process, so without isolation all entries would fail together.
 
 mod support;
 
@@ -27,7 +27,7 @@
     settings,
 };
 
-/// A store whose first lists make whoever reads them panic.
+/// A store whose first `list` calls panic in the calling task.
 #[derive(Debug)]
 struct PanickingStore {
     inner: TestStore,
@@ -44,7 +44,7 @@
         let left = self
             .panics
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
-        assert!(left.is_err(), "a fact that nobody can read");
+        assert!(left.is_err(), "injected panic in list");
         self.inner.list(topic, freshness, progress)
     }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// Panics at a request that says so.
+/// A header format that panics on requests with certain headers.
 #[derive(Debug)]
 struct PanickingHeaders;
 
 impl HeaderForm for PanickingHeaders {
     fn read_request(&self, headers: &HeaderMap) -> RequestFacts {
-        assert!(!headers.contains_key("x-panic"), "a head that nobody can read");
+        assert!(!headers.contains_key("x-panic"), "injected panic in read_request");
         TestHeaders.read_request(headers)
     }
 
     fn write_request(&self, headers: &mut HeaderMap, facts: &SendFacts) {
-        assert!(!headers.contains_key("x-panic-later"), "a head that nobody can pass on");
+        assert!(!headers.contains_key("x-panic-later"), "injected panic in write_request");
         TestHeaders.write_request(headers, facts);
     }
 
@@ -90,7 +90,7 @@
     inner.set(FactTopic::Servers, "i1", Fact::Server(record("i1", server.address, "z1")));
     let store = Arc::new(PanickingStore { inner, panics: panics.into() });
     let entry = DirectEntry::start(settings(), store, Arc::new(PanickingHeaders)).await;
-    (entry.expect("it starts"), server)
+    (entry.expect("the entry starts"), server)
 }
 
 async fn ready(entry: &DirectEntry) -> bool {
@@ -124,8 +124,8 @@
     }
     let answer = ask_with(entry.address, "/stream/y", &[("x-key", "k")]).await;
     expect_that!(answer.expect("an answer").status, eq(StatusCode::OK));
-    // Nothing is counted as held, or in progress at a server, for those that are gone; the last one's
-    // answer is here a little before it is counted as ended.
+    // Failed requests must not stay counted as in progress, at the entry or at a server. The last
+    // response arrives slightly before its request is counted as ended, hence the polling.
     let held = || entry.state.in_progress.load(Ordering::Relaxed);
     for _ in 0..200 {
         if held() == 0 && entry.state.servers().own_loads().is_empty() {
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -1,5 +1,5 @@
-//! A machine that is suspended for seconds: the steady clock does not count that time. An entry took
-//! facts for as much younger than they were, and requests for having as much more time.
+//! Suspension of the machine for several seconds. The monotonic clock excludes that time, so an
+//! entry relying on it underestimates the age of facts and overestimates the time left for requests.
 
 mod support;
 
@@ -21,7 +21,7 @@
 use headlatch_types::traffic::PlanVersion;
 use support::{TestHeaders, TestStore, plan, settings};
 
-/// Suspended time that a test sets, in milliseconds.
+/// Suspended time set by a test, in milliseconds.
 #[derive(Debug, Clone, Default)]
 struct TestSuspendSource(Arc<AtomicU64>);
 
@@ -50,7 +50,7 @@
     expect_that!(clock.suspended(), eq(Duration::from_secs(10)));
 }
 
-/// Whoever subscribes to ticks hears the time with it.
+/// The time sent with ticks includes suspended time.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn ticks_tell_the_time_with_what_was_slept() {
@@ -72,8 +72,8 @@
     expect_that!(kernel.suspended(), lt(Duration::from_millis(20)));
 }
 
-/// After ten seconds the entry knows that its facts are that old, and reads everything anew: what
-/// changed meanwhile nobody could tell it.
+/// After a suspension of ten seconds the entry must age its facts by that time and list everything
+/// again, since it may have missed change notifications.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_wakes_knows_how_old_its_facts_are_and_reads_them_anew() {
@@ -82,7 +82,8 @@
     let state = EntryState::with_clock(settings(), Arc::new(TestHeaders), clock);
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
-    let entry = DirectEntry::start_on(state.clone(), store.clone()).await.expect("it starts");
+    let entry =
+        DirectEntry::start_on(state.clone(), store.clone()).await.expect("the entry starts");
     while state.routes().is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
