--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    fn take(&self) -> (Vec<u8>, u64) {
+    fn drain(&self) -> (Vec<u8>, u64) {
         let mut buffer = self.lock();
         let unreported = std::mem::take(&mut buffer.unreported);
         (std::mem::take(&mut buffer.bytes), unreported)
@@ -133,7 +133,7 @@
 
 fn run_writer(log: &DecisionLog) {
     loop {
-        let (mut bytes, unreported) = log.take();
+        let (mut bytes, unreported) = log.drain();
         if bytes.is_empty() {
             std::thread::park();
             std::thread::sleep(WRITE_DELAY);
@@ -155,7 +155,7 @@
 /// Writes all buffered lines; called before the process exits.
 pub fn flush() {
     if let Some(log) = LOG.get() {
-        let (bytes, _) = log.take();
+        let (bytes, _) = log.drain();
         let _ = std::io::stdout().write_all(&bytes);
     }
 }
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -166,8 +166,8 @@
             Err(response) => return response,
         };
         let id = received.id.clone();
-        let answered = self.complete(kind, received).await;
-        self.finish(&id, answered)
+        let result = self.complete(kind, received).await;
+        self.finish(&id, result)
     }
 
     async fn handle_service(&self, request: Request) -> Response {
@@ -176,12 +176,12 @@
             Err(response) => return response,
         };
         let id = received.id.clone();
-        let answered = self.proxy_to_service(received).await;
-        self.finish(&id, answered)
+        let result = self.proxy_to_service(received).await;
+        self.finish(&id, result)
     }
 
-    fn finish(&self, id: &RequestId, answered: Result<Response, Refusal>) -> Response {
-        let refusal = match answered {
+    fn finish(&self, id: &RequestId, result: Result<Response, Refusal>) -> Response {
+        let refusal = match result {
             Ok(response) => return response,
             Err(refusal) => refusal,
         };
@@ -309,9 +309,9 @@
         permit: AdmissionPermit,
     ) -> Result<Response, Refusal> {
         let started = self.node.now();
-        let answered = self.dispatcher.complete(&request).await;
+        let result = self.dispatcher.complete(&request).await;
         drop(permit);
-        let (head, body) = answered.map_err(|failure| Refusal::from_failure(&failure))?;
+        let (head, body) = result.map_err(|failure| Refusal::from_failure(&failure))?;
         let seconds = self.node.now().since(started).as_secs_f64();
         self.node.metrics.observe_first_byte("whole", seconds);
         self.node.metrics.count_request(RunVerdict::Ran);
@@ -327,8 +327,8 @@
         permit: AdmissionPermit,
     ) -> Result<Response, Refusal> {
         let started = self.node.now();
-        let answered = self.dispatcher.begin(&request).await;
-        let answer = answered.map_err(|failure| Refusal::from_failure(&failure))?;
+        let result = self.dispatcher.begin(&request).await;
+        let answer = result.map_err(|failure| Refusal::from_failure(&failure))?;
         let head = answer.stream.head.clone();
         let seconds = self.node.now().since(started).as_secs_f64();
         self.node.metrics.observe_first_byte("stream", seconds);
--- a/crates/daemon/tests/command_line.rs
+++ b/crates/daemon/tests/command_line.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn good_settings_are_said_to_be_good() {
+fn valid_settings_are_accepted() {
     let output = check(&settings().to_string());
     assert_that!(output.status.code(), some(eq(0)));
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -50,7 +50,7 @@
 #[case("/agent/link", json!({ "rate": "10MB" }), "agent.link.rate: \"10MB\" is not a rate")]
 #[case("/admin", json!("here"), "admin: \"here\" is not an address")]
 #[case("/agent/origin", Value::Null, "agent.origin: an engine needs an origin")]
-fn bad_settings_give_one_line_and_status_two(
+fn invalid_settings_give_one_line_and_exit_status_2(
     #[case] at: &str,
     #[case] new: Value,
     #[case] says: &str,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_missing_file_and_the_wrong_daemon_are_told() {
+fn a_missing_file_and_the_wrong_daemon_are_rejected() {
     let output = run(&["check", "--settings", "no-such-file.json"]);
     assert_that!(output.status.code(), some(eq(2)));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -94,7 +94,7 @@
 #[case("/direct/retry", json!({ "ratio": -1.0 }), "direct.retry.ratio: -1 is no amount")]
 #[case("/direct/colour", json!(1), "direct.colour: unknown field `colour`")]
 #[case("/entry", Value::Null, "entry: it is missing")]
-fn bad_settings_of_direct_mode_name_the_field(
+fn invalid_direct_settings_name_the_field(
     #[case] at: &str,
     #[case] new: Value,
     #[case] says: &str,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_hangup_reads_the_settings_again_and_ends_nothing() {
+fn sighup_reloads_the_settings_without_a_restart() {
     use std::io::{BufRead, BufReader};
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("settings.json");
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -139,7 +139,7 @@
 /// Readers that wait on a narrow link must not add load by repeating their calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn readers_behind_a_narrow_link_take_no_longer_than_their_bytes() {
+async fn readers_on_a_narrow_link_take_only_their_transfer_time() {
     for (megabits, readers) in [(20, 4), (6, 2), (3, 2), (2, 4), (1, 2)] {
         let (took, calls) = time_to_read(NarrowStore::new(megabits), readers).await;
         let least = Duration::from_secs_f64(
@@ -154,7 +154,7 @@
 /// allows 2.1 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_transfer_that_has_stopped_is_joined_by_another() {
+async fn stalled_transfer_is_followed_by_another_call() {
     let cut_from = Some(Instant::now() + Duration::from_millis(500));
     let store = Arc::new(NarrowStore { cut_from, ..NarrowStore::new(2) });
     let (topic, gate) = (FactTopic::Plan, Arc::new(AlwaysOpen));
@@ -169,7 +169,7 @@
 /// the watch it is made, it takes only its transfer time and no additional call.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_large_change_over_a_narrow_link_is_read_to_its_end() {
+async fn large_change_over_a_narrow_link_is_read_completely() {
     for tenths in 0..20 {
         let changed = Instant::now() + Duration::from_millis(6000 + tenths * 100);
         let store = Arc::new(NarrowStore { changed: Some(changed), ..NarrowStore::new(1) });
--- a/crates/daemon/tests/panics.rs
+++ b/crates/daemon/tests/panics.rs
@@ -105,14 +105,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn facts_that_make_an_entry_panic_do_not_leave_it_deaf() {
+async fn entry_becomes_ready_after_panics_in_fact_listing() {
     let (entry, _server) = entry(4).await;
     expect_that!(ready(&entry).await, eq(true));
 }
 
 #[gtest]
 #[tokio::test]
-async fn requests_that_make_an_entry_panic_harm_no_others() {
+async fn panicking_requests_do_not_affect_other_requests() {
     let (entry, _server) = entry(0).await;
     expect_that!(ready(&entry).await, eq(true));
     for name in ["x-panic", "x-panic-later"] {
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -26,7 +26,7 @@
 struct TestSuspendSource(Arc<AtomicU64>);
 
 impl TestSuspendSource {
-    fn sleep(&self, millis: u64) {
+    fn suspend(&self, millis: u64) {
         self.0.fetch_add(millis, Ordering::Relaxed);
     }
 }
@@ -39,12 +39,12 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_clock_counts_the_time_in_which_the_machine_was_suspended() {
-    let sleep = TestSuspendSource::default();
-    let clock = NodeClock::new(Box::new(sleep.clone()));
+async fn clock_includes_suspended_time() {
+    let source = TestSuspendSource::default();
+    let clock = NodeClock::new(Box::new(source.clone()));
     tokio::time::advance(Duration::from_secs(1)).await;
     expect_that!(clock.now(), eq(Moment::from_micros(1_000_000)));
-    sleep.sleep(10_000);
+    source.suspend(10_000);
     tokio::time::advance(Duration::from_millis(10)).await;
     expect_that!(clock.now(), eq(Moment::from_micros(11_010_000)));
     expect_that!(clock.suspended(), eq(Duration::from_secs(10)));
@@ -53,12 +53,12 @@
 /// The time sent with ticks includes suspended time.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn ticks_tell_the_time_with_what_was_slept() {
-    let sleep = TestSuspendSource::default();
-    let timer = SystemTimer::with_suspend_source(Box::new(sleep.clone()));
+async fn ticks_include_suspended_time() {
+    let source = TestSuspendSource::default();
+    let timer = SystemTimer::with_suspend_source(Box::new(source.clone()));
     let mut ticks = timer.subscribe(Duration::from_millis(100));
     let before = ticks.next().await.expect("a tick");
-    sleep.sleep(5000);
+    source.suspend(5000);
     tokio::time::advance(Duration::from_millis(100)).await;
     let after = ticks.next().await.expect("a tick");
     expect_that!(after.since(before), ge(Duration::from_millis(5100)));
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn a_machine_that_was_not_suspended_has_not_slept() {
+fn kernel_clock_reports_no_suspension_without_one() {
     let kernel = KernelSuspendClock::default();
     std::thread::sleep(Duration::from_millis(50));
     expect_that!(kernel.suspended(), lt(Duration::from_millis(20)));
@@ -76,9 +76,9 @@
 /// again, since it may have missed change notifications.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_wakes_knows_how_old_its_facts_are_and_reads_them_anew() {
-    let sleep = TestSuspendSource::default();
-    let clock = NodeClock::new(Box::new(sleep.clone()));
+async fn entry_ages_and_relists_its_facts_after_suspension() {
+    let source = TestSuspendSource::default();
+    let clock = NodeClock::new(Box::new(source.clone()));
     let state = EntryState::with_clock(settings(), Arc::new(TestHeaders), clock);
     let store = Arc::new(TestStore::default());
     store.set(FactTopic::Plan, "main", Fact::Plan(Box::new(plan(5))));
@@ -93,7 +93,7 @@
         fact: Ok(Fact::Plan(Box::new(plan(6)))),
     };
     store.replace_silently(FactTopic::Plan, newer);
-    sleep.sleep(10_000);
+    source.suspend(10_000);
     tokio::time::sleep(Duration::from_millis(6)).await;
     let age = state.plan.age().age(state.now());
     expect_that!(age, some(ge(Duration::from_secs(10))));
