--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -105,7 +105,7 @@
                 }
             }),
         ];
-        log::info!("entry: {} takes requests at {listen}", node.settings.box_id);
+        log::info!("entry: {} is accepting requests at {listen}", node.settings.box_id);
         Ok(Self { node, listen, admin, ready, stop_callers, callers, stop, tasks })
     }
 
