--- a/crates/client/src/demo/waiting.rs
+++ b/crates/client/src/demo/waiting.rs
@@ -56,10 +56,11 @@
 }
 
 fn look(cluster: &DemoCluster, set: SetKey) -> SeenProgress {
-    let engines = cluster.agents.iter().filter(|agent| agent.desk.endpoint().service.is_none());
+    let engines =
+        cluster.agents.iter().filter(|agent| agent.admission.endpoint().service.is_none());
     let mut seen = SeenProgress { boxes: 0, serving: 0, permille: 0 };
     for agent in engines {
-        let serves = agent.desk.lock().gate.serving() == Some(set);
+        let serves = agent.admission.lock().gate.serving() == Some(set);
         let fetched =
             agent.node.table().own().endpoint.as_ref().map_or(0, |one| one.fetched_permille);
         seen.boxes += 1;
--- a/crates/daemon/src/agent/desk.rs
+++ b/crates/daemon/src/agent/admission.rs
@@ -13,7 +13,7 @@
 /// What a desk knows, under one lock, so that closing the gate and counting requests in progress
 /// cannot pass each other.
 #[derive(Debug, Default)]
-pub struct DeskState {
+pub struct AdmissionState {
     /// The gate; not used for a plain service.
     pub gate: WeightGate,
     /// Names under which callers may ask for what serves here.
@@ -30,30 +30,30 @@
 
 /// Decides for each request whether it may run at this endpoint.
 #[derive(Debug)]
-pub struct EndpointDesk {
+pub struct EndpointAdmission {
     settings: EndpointSettings,
     box_id: String,
-    state: Mutex<DeskState>,
+    state: Mutex<AdmissionState>,
 }
 
 /// Leave to run one request; it counts as in progress until this is dropped.
 #[derive(Debug)]
 pub struct RunPermit<'a> {
-    desk: &'a EndpointDesk,
+    admission: &'a EndpointAdmission,
     /// The weights that will answer; none for a plain service.
     pub set: Option<SetKey>,
     key: Option<String>,
 }
 
-impl EndpointDesk {
+impl EndpointAdmission {
     /// A desk for the endpoint of box `box_id`.
     pub fn new(settings: EndpointSettings, box_id: String) -> Self {
         Self { settings, box_id, state: Mutex::default() }
     }
 
     /// What the desk knows.
-    pub fn lock(&self) -> MutexGuard<'_, DeskState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    pub fn lock(&self) -> MutexGuard<'_, AdmissionState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// The endpoint.
@@ -91,12 +91,12 @@
             }
         }
         state.in_progress += 1;
-        Ok(RunPermit { desk: self, set, key })
+        Ok(RunPermit { admission: self, set, key })
     }
 
     fn check_target(
         &self,
-        state: &DeskState,
+        state: &AdmissionState,
         request: &ServeRequest,
     ) -> Result<Option<SetKey>, RefusalCause> {
         match &self.settings.service {
@@ -114,16 +114,16 @@
 
 impl RunPermit<'_> {
     /// The request certainly did not run after all: its key may be used again.
-    pub fn unrun(mut self) {
+    pub fn release_key(mut self) {
         if let Some(key) = self.key.take() {
-            self.desk.lock().keys.release(&key);
+            self.admission.lock().keys.release(&key);
         }
     }
 }
 
 impl Drop for RunPermit<'_> {
     fn drop(&mut self) {
-        let mut state = self.desk.lock();
+        let mut state = self.admission.lock();
         state.in_progress = state.in_progress.saturating_sub(1);
         if let Some(key) = &self.key {
             state.keys.mark_spent(key);
--- a/crates/daemon/src/agent/vault.rs
+++ b/crates/daemon/src/agent/chunk_cache.rs
@@ -11,29 +11,29 @@
 /// There is no room for a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("chunk_memory is full; raise it in the settings to hold a whole version")]
-pub struct VaultFull;
+pub struct ChunkCacheFull;
 
 #[derive(Debug, Default)]
-struct VaultState {
+struct ChunkCacheState {
     chunks: HashMap<Digest, Bytes>,
     used: u64,
 }
 
 /// Chunks that this box holds; each has been verified before it came in.
 #[derive(Debug)]
-pub struct ChunkVault {
-    state: Mutex<VaultState>,
+pub struct ChunkCache {
+    state: Mutex<ChunkCacheState>,
     limit: ByteSize,
 }
 
-impl ChunkVault {
+impl ChunkCache {
     /// An empty vault for `limit` bytes.
     pub fn new(limit: ByteSize) -> Self {
         Self { state: Mutex::default(), limit }
     }
 
-    fn lock(&self) -> MutexGuard<'_, VaultState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ChunkCacheState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Most bytes it holds.
@@ -52,7 +52,7 @@
         kind: DigestKind,
         digest: Digest,
         data: Bytes,
-    ) -> Option<Result<(), VaultFull>> {
+    ) -> Option<Result<(), ChunkCacheFull>> {
         if kind.of(&data) != digest {
             return None;
         }
@@ -61,7 +61,7 @@
             return Some(Ok(()));
         }
         if state.used + data.len() as u64 > self.limit.bytes() {
-            return Some(Err(VaultFull));
+            return Some(Err(ChunkCacheFull));
         }
         state.used += data.len() as u64;
         state.chunks.insert(digest, data);
--- a/crates/daemon/src/agent/engine/http.rs
+++ b/crates/daemon/src/agent/engine/http.rs
@@ -16,10 +16,10 @@
 use super::{EngineControl, EngineError, EngineFuture, LoadOrder, OrderOutcome};
 
 /// Time for a call that does not wait for a load.
-const CALL_TIME: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Largest answer.
-const MOST_ANSWER: ByteSize = ByteSize::from_bytes(64 << 10);
+const MAX_ANSWER: ByteSize = ByteSize::from_bytes(64 << 10);
 
 /// An engine's orders and status, at one address.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     ) -> Result<(StatusCode, Bytes), EngineError> {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let limits = (MOST_ANSWER, CALL_TIME);
+        let limits = (MAX_ANSWER, CALL_TIMEOUT);
         let call = self.caller.call(self.address, (method, path), headers, body, limits);
         let (status, _, body) = call.await.map_err(|error| EngineError(error.message))?;
         Ok((status, body))
@@ -79,7 +79,7 @@
             let body = json!({ "token": order.token, "set": order.set, "files": files });
             let body = Bytes::from(body.to_string());
             match self.call(Method::POST, "/orders/load", body).await? {
-                (status, _) if status.is_success() => Ok(OrderOutcome::Taken),
+                (status, _) if status.is_success() => Ok(OrderOutcome::Accepted),
                 (StatusCode::CONFLICT, _) => Ok(OrderOutcome::Fenced),
                 (status, _) => Err(EngineError(format!("an order gave {status}"))),
             }
--- a/crates/daemon/src/agent/engine/mod.rs
+++ b/crates/daemon/src/agent/engine/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The engine took it.
-    Taken,
+    Accepted,
     /// The engine has had a later one.
     Fenced,
 }
--- a/crates/daemon/src/agent/fetch.rs
+++ b/crates/daemon/src/agent/fetch.rs
@@ -23,20 +23,20 @@
 use crate::node::channels::ChannelCache;
 
 /// Time after which a source that sends nothing is given up.
-const STALL_TIME: Duration = Duration::from_secs(20);
+const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Characters of a path that need no escape.
-const PATH: &AsciiSet =
+const UNESCAPED_PATH: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'.').remove(b'-').remove(b'_').remove(b'~');
 
 /// Escapes a file's path for a URL.
 pub fn escape_path(path: &str) -> String {
-    utf8_percent_encode(path, PATH).to_string()
+    utf8_percent_encode(path, UNESCAPED_PATH).to_string()
 }
 
 /// An origin or store, with the folder of one version.
 #[derive(Debug, Clone)]
-pub struct OutsideSource {
+pub struct HttpSource {
     /// Its base URL.
     pub url: ServiceUrl,
     /// The version's folder.
@@ -45,26 +45,26 @@
 
 /// Reads from origin and store over this box's link.
 #[derive(Debug, Clone)]
-pub struct OutsideFetcher {
+pub struct HttpFetcher {
     caller: HttpCaller,
-    down: Arc<LinkPacer>,
+    downlink: Arc<LinkPacer>,
 }
 
-impl OutsideFetcher {
+impl HttpFetcher {
     /// A fetcher whose bytes come in over `down`.
-    pub fn new(down: Arc<LinkPacer>) -> Self {
-        Self { caller: HttpCaller::pooled(), down }
+    pub fn new(downlink: Arc<LinkPacer>) -> Self {
+        Self { caller: HttpCaller::pooled(), downlink }
     }
 
     /// The link that its bytes come in over.
-    pub fn down(&self) -> Arc<LinkPacer> {
-        self.down.clone()
+    pub fn downlink(&self) -> Arc<LinkPacer> {
+        self.downlink.clone()
     }
 
     /// Reads the bytes of one chunk; they are not verified yet.
     pub async fn chunk(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         manifest: &Manifest,
         place: &ChunkPlace,
     ) -> Result<Bytes, FetchFailure> {
@@ -77,7 +77,7 @@
     /// Reads a version's manifest and checks its digest.
     pub async fn manifest(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         digest: Digest,
     ) -> Result<(Bytes, Manifest), FetchFailure> {
         let text = self.read(source, MANIFEST_FILE, None, MAX_MANIFEST_BYTES).await?;
@@ -90,10 +90,10 @@
 
     async fn read(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         path: &str,
         range: Option<&str>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, FetchFailure> {
         let mut headers = HeaderMap::new();
         if let Some(value) = range.and_then(|range| HeaderValue::from_str(range).ok()) {
@@ -103,7 +103,7 @@
         let address = source.url.address();
         let start = format!("http://{address}").len();
         let call = self.caller.send(address, Method::GET, &url[start..], headers, Bytes::new());
-        let answered = tokio::time::timeout(STALL_TIME, call).await;
+        let answered = tokio::time::timeout(STALL_TIMEOUT, call).await;
         let response = answered.ok().and_then(Result::ok).ok_or(FetchFailure::Unreachable)?;
         check_status(response.status(), range.is_some())?;
         let mut body = response.into_body();
@@ -111,8 +111,8 @@
         while let Some(frame) = next_frame(&mut body).await? {
             let frame = frame.map_err(|_| FetchFailure::Unreachable)?;
             let Ok(piece) = frame.into_data() else { continue };
-            self.down.send(piece.len()).await;
-            if data.len() + piece.len() > most {
+            self.downlink.send(piece.len()).await;
+            if data.len() + piece.len() > max_bytes {
                 return Err(FetchFailure::Corrupt);
             }
             data.extend_from_slice(&piece);
@@ -125,7 +125,7 @@
 async fn next_frame(
     body: &mut Body,
 ) -> Result<Option<Result<Frame<Bytes>, BoxError>>, FetchFailure> {
-    let next = tokio::time::timeout(STALL_TIME, body.frame()).await;
+    let next = tokio::time::timeout(STALL_TIMEOUT, body.frame()).await;
     next.map_err(|_| FetchFailure::Unreachable)
 }
 
@@ -153,14 +153,14 @@
 
 /// Reads chunks as ranges of files below a folder.
 #[derive(Debug)]
-pub struct FolderReader {
+pub struct HttpChunkReader {
     /// Reads the ranges.
-    pub fetcher: OutsideFetcher,
+    pub fetcher: HttpFetcher,
     /// The folder.
-    pub source: OutsideSource,
+    pub source: HttpSource,
 }
 
-impl ChunkReader for FolderReader {
+impl ChunkReader for HttpChunkReader {
     fn read<'a>(
         &'a self,
         manifest: &'a Manifest,
@@ -175,7 +175,7 @@
 
 /// What a fetch from a peer needs to know.
 #[derive(Debug)]
-pub struct PeerAsk {
+pub struct PeerFetchRequest {
     /// The peer's address.
     pub address: SocketAddr,
     /// The manifest.
@@ -194,33 +194,33 @@
 /// that comes over `steps`.
 pub async fn fetch_from_peer(
     channels: &ChannelCache,
-    ask: PeerAsk,
+    fetch: PeerFetchRequest,
     steps: mpsc::Receiver<Step>,
-    turns: mpsc::Sender<()>,
-    down: &LinkPacer,
+    grants: mpsc::Sender<()>,
+    downlink: &LinkPacer,
 ) -> Result<Bytes, FetchFailure> {
     let request = FetchChunkRequest {
-        manifest: Bytes::copy_from_slice(ask.manifest.as_bytes()),
-        chunk: ask.chunk.0,
-        box_id: ask.box_id,
-        held: ask.held,
+        manifest: Bytes::copy_from_slice(fetch.manifest.as_bytes()),
+        chunk: fetch.chunk.0,
+        box_id: fetch.box_id,
+        held: fetch.held,
     };
     let outgoing = outgoing_steps(request, steps);
-    let mut client = channels.node(ask.address);
+    let mut client = channels.node(fetch.address);
     let response =
-        client.fetch_chunk(outgoing).await.map_err(|status| failure_of(status.code()))?;
+        client.fetch_chunk(outgoing).await.map_err(|status| failure_from_code(status.code()))?;
     let mut pieces = response.into_inner();
-    let mut data = BytesMut::with_capacity(ask.length);
+    let mut data = BytesMut::with_capacity(fetch.length);
     loop {
-        let piece = pieces.message().await.map_err(|status| failure_of(status.code()))?;
+        let piece = pieces.message().await.map_err(|status| failure_from_code(status.code()))?;
         let Some(piece) = piece else { break };
         if piece.turn {
             // Nobody waits for it any more once the fetch is given up.
-            let _ = turns.send(()).await;
+            let _ = grants.send(()).await;
             continue;
         }
-        down.send(piece.data.len()).await;
-        if data.len() + piece.data.len() > ask.length {
+        downlink.send(piece.data.len()).await;
+        if data.len() + piece.data.len() > fetch.length {
             return Err(FetchFailure::Corrupt);
         }
         data.extend_from_slice(&piece.data);
@@ -240,7 +240,7 @@
     }
 }
 
-fn failure_of(code: Code) -> FetchFailure {
+fn failure_from_code(code: Code) -> FetchFailure {
     match code {
         Code::ResourceExhausted => FetchFailure::Busy,
         Code::NotFound => FetchFailure::Absent,
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -23,45 +23,45 @@
 };
 
 use super::{
-    desk::EndpointDesk,
+    admission::EndpointAdmission,
+    chunk_cache::ChunkCache,
     engine::{EngineControl, LoadOrder, OrderOutcome},
     fetch::{
-        ChunkReader, FolderReader, OutsideFetcher, OutsideSource, escape_path, manifest_from_peer,
+        ChunkReader, HttpChunkReader, HttpFetcher, HttpSource, escape_path, manifest_from_peer,
     },
-    hub::SwarmHub,
-    notes::ChannelCarrier,
-    swarm::{self, DriverInput, SwarmTools, peer_key},
-    vault::ChunkVault,
+    notes::GrpcNoteSender,
+    registry::SwarmRegistry,
+    swarm::{self, DriverInput, SwarmContext, peer_key},
 };
 use crate::node::NodeContext;
 
 /// How often the loader looks at the whole picture.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How often the engine is asked for its state.
-const ENGINE_PAUSE: Duration = Duration::from_millis(250);
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time in which a new agent only listens, so that it does not act on a list of nobody.
-const SETTLE_TIME: Duration = Duration::from_secs(2);
+const STARTUP_DELAY: Duration = Duration::from_secs(2);
 
 /// Peers asked for a manifest before the origin is.
 const MANIFEST_PEERS: usize = 3;
 
 /// Boxes that read a manifest from the origin at once; the others ask them first.
-const MANIFEST_READERS: usize = 2;
+const MANIFEST_ORIGIN_READERS: usize = 2;
 
 /// How long a box asks others for a manifest before it reads the origin itself.
-const MANIFEST_PATIENCE: Duration = Duration::from_secs(3);
+const MANIFEST_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Everything an agent of an engine needs to bring in and load weights.
 pub struct WeightLoader {
     pub(super) settings: AgentSettings,
     pub(super) node: Arc<NodeContext>,
-    pub(super) desk: Arc<EndpointDesk>,
-    pub(super) hub: Arc<SwarmHub>,
-    pub(super) vault: Arc<ChunkVault>,
+    pub(super) admission: Arc<EndpointAdmission>,
+    pub(super) registry: Arc<SwarmRegistry>,
+    pub(super) chunk_cache: Arc<ChunkCache>,
     pub(super) engine: Arc<dyn EngineControl>,
-    pub(super) fetcher: OutsideFetcher,
+    pub(super) fetcher: HttpFetcher,
     /// Where the engine reads files from.
     pub(super) weights_url: String,
     pub(super) state: LoaderState,
@@ -70,10 +70,10 @@
 /// What the loader remembers from look to look.
 #[derive(Debug, Default)]
 pub struct LoaderState {
-    engine_due: Moment,
+    next_engine_poll: Moment,
     report: Option<EngineReport>,
     /// When the search for a manifest began.
-    wanted_since: BTreeMap<Digest, Moment>,
+    manifest_search_began: BTreeMap<Digest, Moment>,
     last_bytes: (u64, Moment),
     rate: u64,
 }
@@ -95,7 +95,7 @@
 impl WeightLoader {
     /// Runs until the stop.
     pub async fn run(mut self, mut signal: StopSignal) {
-        let mut ticks = self.node.timer.subscribe(LOOK_PAUSE);
+        let mut ticks = self.node.timer.subscribe(RECONCILE_INTERVAL);
         let mut changes = self.node.watch_config();
         loop {
             tokio::select! {
@@ -103,24 +103,24 @@
                 changed = changes.changed() => if changed.is_err() { return },
                 () = signal.stopped() => return,
             }
-            self.look().await;
+            self.reconcile().await;
         }
     }
 
-    async fn look(&mut self) {
+    async fn reconcile(&mut self) {
         let now = self.node.now();
-        if now >= self.state.engine_due {
-            self.state.engine_due = now + ENGINE_PAUSE;
-            self.ask_engine().await;
+        if now >= self.state.next_engine_poll {
+            self.state.next_engine_poll = now + ENGINE_POLL_INTERVAL;
+            self.poll_engine().await;
         }
-        if now.since(Moment::ZERO) < SETTLE_TIME {
+        if now.since(Moment::ZERO) < STARTUP_DELAY {
             return;
         }
         let goal = self.goal(now);
-        self.aim(&goal);
-        self.bring_in(now, &goal).await;
-        self.change(now, &goal).await;
-        self.publish(now, &goal);
+        self.update_gate_target(&goal);
+        self.update_transfers(now, &goal).await;
+        self.switch_weights(now, &goal).await;
+        self.publish_progress(now, &goal);
     }
 
     fn goal(&self, now: Moment) -> LoadGoal {
@@ -144,7 +144,7 @@
         LoadGoal { config, placement, boxes, own }
     }
 
-    fn aim(&self, goal: &LoadGoal) {
+    fn update_gate_target(&self, goal: &LoadGoal) {
         let target = goal.model().map(|model| TargetSet {
             key: model.set_key(),
             parts: model.parts().iter().map(|part| part.manifest).collect(),
@@ -152,40 +152,40 @@
         // A box that is to run nothing goes on serving what it has until it is given something
         // else: the others may not have taken over yet.
         if target.is_some() {
-            self.desk.lock().gate.set_target(target);
+            self.admission.lock().gate.set_target(target);
         }
     }
 
     /// Starts transfers that are missing, tells all who takes part, and ends those not wanted.
-    async fn bring_in(&mut self, now: Moment, goal: &LoadGoal) {
+    async fn update_transfers(&mut self, now: Moment, goal: &LoadGoal) {
         let Some(model) = goal.model().cloned() else { return };
         let parts = model.parts();
         for part in &parts {
-            let seats = self.seats(goal, &part.manifest);
-            if self.hub.get(&part.manifest).is_none() {
-                self.start_swarm(now, goal, part, &seats).await;
+            let peers = self.peers(goal, &part.manifest);
+            if self.registry.get(&part.manifest).is_none() {
+                self.start_swarm(now, goal, part, &peers).await;
             }
-            let Some(handle) = self.hub.get(&part.manifest) else { continue };
-            handle.tell(DriverInput::Seats(seats));
+            let Some(handle) = self.registry.get(&part.manifest) else { continue };
+            handle.try_send(DriverInput::Peers(peers));
             if handle.is_complete() {
-                self.desk.lock().gate.mark_verified(part.manifest);
+                self.admission.lock().gate.mark_verified(part.manifest);
             }
         }
         let wanted = |digest: &Digest| parts.iter().any(|part| part.manifest == *digest);
-        if parts.iter().all(|part| self.hub.get(&part.manifest).is_some()) {
-            self.hub.retain(wanted);
+        if parts.iter().all(|part| self.registry.get(&part.manifest).is_some()) {
+            self.registry.retain(wanted);
         }
     }
 
     /// The boxes whose sets have this manifest, with their addresses.
-    fn seats(&self, goal: &LoadGoal, manifest: &Digest) -> Vec<(PeerLocation, SocketAddr)> {
-        let takes_part = |id: &BoxId| {
+    fn peers(&self, goal: &LoadGoal, manifest: &Digest) -> Vec<(PeerLocation, SocketAddr)> {
+        let participates = |id: &BoxId| {
             let placed =
                 goal.placement.get(id).and_then(|one| goal.config.plan.models.get(one.model));
             placed.is_some_and(|model| model.parts().iter().any(|part| part.manifest == *manifest))
         };
-        let boxes = goal.boxes.iter().filter(|record| takes_part(&record.id));
-        boxes.map(|record| (seat_of(record), record.control)).collect()
+        let boxes = goal.boxes.iter().filter(|record| participates(&record.id));
+        boxes.map(|record| (peer_location(record), record.control)).collect()
     }
 
     async fn start_swarm(
@@ -193,13 +193,13 @@
         now: Moment,
         goal: &LoadGoal,
         part: &WeightPart,
-        seats: &[(PeerLocation, SocketAddr)],
+        peers: &[(PeerLocation, SocketAddr)],
     ) {
-        let since = *self.state.wanted_since.entry(part.manifest).or_insert(now);
-        let Some((text, manifest)) = self.find_manifest(now, since, part, seats).await else {
+        let since = *self.state.manifest_search_began.entry(part.manifest).or_insert(now);
+        let Some((text, manifest)) = self.find_manifest(now, since, part, peers).await else {
             return;
         };
-        if manifest.total() > self.vault.limit() {
+        if manifest.total() > self.chunk_cache.limit() {
             log::error!(
                 "burst: {} takes {}, more than chunk_memory; raise it in the settings",
                 part.location,
@@ -207,17 +207,19 @@
             );
             return;
         }
-        if self.vault.used().bytes() + manifest.total().bytes() > self.vault.limit().bytes() {
+        if self.chunk_cache.used().bytes() + manifest.total().bytes()
+            > self.chunk_cache.limit().bytes()
+        {
             // Both versions do not fit: the old one is loaded already and only others miss it.
-            self.hub.retain(|_| false);
+            self.registry.retain(|_| false);
         }
-        self.state.wanted_since.remove(&part.manifest);
+        self.state.manifest_search_began.remove(&part.manifest);
         log::info!("burst: bringing in {}, {}", part.location, manifest.total());
         let settings = self.swarm_settings(&manifest, goal);
-        let tools = self.tools(part);
-        let me = seat_of(self.node.table().own());
-        self.hub.add(swarm::start(
-            tools,
+        let context = self.context(part);
+        let me = peer_location(self.node.table().own());
+        self.registry.add(swarm::start(
+            context,
             part.location.clone(),
             (text, Arc::new(manifest)),
             settings,
@@ -225,26 +227,26 @@
         ));
     }
 
-    fn tools(&self, part: &WeightPart) -> SwarmTools {
-        let reader = |source: OutsideSource| -> Arc<dyn ChunkReader> {
-            Arc::new(FolderReader { fetcher: self.fetcher.clone(), source })
+    fn context(&self, part: &WeightPart) -> SwarmContext {
+        let reader = |source: HttpSource| -> Arc<dyn ChunkReader> {
+            Arc::new(HttpChunkReader { fetcher: self.fetcher.clone(), source })
         };
         let [origin, store] = self.sources(part);
-        SwarmTools {
+        SwarmContext {
             node: self.node.clone(),
-            vault: self.vault.clone(),
-            down: self.fetcher.down(),
-            carrier: Arc::new(ChannelCarrier(self.node.clone())),
+            chunk_cache: self.chunk_cache.clone(),
+            downlink: self.fetcher.downlink(),
+            note_sender: Arc::new(GrpcNoteSender(self.node.clone())),
             origin: origin.map(reader),
             store: store.map(reader),
         }
     }
 
     /// Origin and store of a part, where they are.
-    fn sources(&self, part: &WeightPart) -> [Option<OutsideSource>; 2] {
+    fn sources(&self, part: &WeightPart) -> [Option<HttpSource>; 2] {
         let location = &part.location;
         [&self.settings.origin, &self.settings.store]
-            .map(|url| url.clone().map(|url| OutsideSource { url, location: location.clone() }))
+            .map(|url| url.clone().map(|url| HttpSource { url, location: location.clone() }))
     }
 
     fn swarm_settings(&self, manifest: &Manifest, goal: &LoadGoal) -> SwarmSettings {
@@ -264,13 +266,13 @@
         now: Moment,
         since: Moment,
         part: &WeightPart,
-        seats: &[(PeerLocation, SocketAddr)],
+        peers: &[(PeerLocation, SocketAddr)],
     ) -> Option<(Bytes, Manifest)> {
         let own = peer_key(&self.node.settings.box_id);
-        let ranked = ranking(part.manifest.key(), seats.iter().map(|(seat, _)| seat.key.0));
-        let reader = ranked.iter().take(MANIFEST_READERS).any(|key| *key == own.0);
+        let ranked = ranking(part.manifest.key(), peers.iter().map(|(peer, _)| peer.key.0));
+        let reader = ranked.iter().take(MANIFEST_ORIGIN_READERS).any(|key| *key == own.0);
         let address = |key: &u64| {
-            seats.iter().find(|(seat, _)| seat.key.0 == *key).map(|(_, address)| *address)
+            peers.iter().find(|(peer, _)| peer.key.0 == *key).map(|(_, address)| *address)
         };
         for key in ranked.iter().filter(|key| **key != own.0).take(MANIFEST_PEERS) {
             let Some(address) = address(key) else { continue };
@@ -279,7 +281,7 @@
                 return Some(found);
             }
         }
-        if !reader && now.since(since) < MANIFEST_PATIENCE {
+        if !reader && now.since(since) < MANIFEST_PEER_TIMEOUT {
             return None;
         }
         for source in self.sources(part).into_iter().flatten() {
@@ -295,16 +297,16 @@
         None
     }
 
-    async fn ask_engine(&mut self) {
+    async fn poll_engine(&mut self) {
         match self.engine.report().await {
             Ok(report) => {
                 self.state.report = Some(report);
-                let mut desk = self.desk.lock();
-                let before = desk.gate.serving();
-                desk.gate.handle_report(report);
-                desk.healthy = true;
-                let after = desk.gate.serving();
-                drop(desk);
+                let mut admission = self.admission.lock();
+                let before = admission.gate.serving();
+                admission.gate.handle_report(report);
+                admission.healthy = true;
+                let after = admission.gate.serving();
+                drop(admission);
                 if before != after {
                     log_gate(before, after);
                     self.publish_serving(after);
@@ -314,45 +316,45 @@
                 if self.state.report.take().is_some() {
                     log::error!("gate: closed, {error}");
                 }
-                let mut desk = self.desk.lock();
-                desk.gate.handle_engine_loss();
-                desk.healthy = false;
+                let mut admission = self.admission.lock();
+                admission.gate.handle_engine_loss();
+                admission.healthy = false;
             }
         }
     }
 
     /// Has the engine load the wanted set once it is whole, its turn has come, and nothing runs.
-    async fn change(&mut self, now: Moment, goal: &LoadGoal) {
+    async fn switch_weights(&mut self, now: Moment, goal: &LoadGoal) {
         let (Some(model), Some(report)) = (goal.model(), self.state.report) else { return };
-        let turn = self.has_turn(now, goal, model);
+        let may_switch_weights = self.may_switch_now(now, goal, model);
         let order = {
-            let mut desk = self.desk.lock();
-            if !matches!(desk.gate.next_step(), GateStep::Ready(_)) {
+            let mut admission = self.admission.lock();
+            if !matches!(admission.gate.next_step(), GateStep::Ready(_)) {
                 return;
             }
-            if desk.gate.serving().is_some() {
-                if !turn {
+            if admission.gate.serving().is_some() {
+                if !may_switch_weights {
                     return;
                 }
                 log::info!("gate: closed to change to {}@{}", model.name, model.version);
-                desk.gate.stop_serving();
+                admission.gate.stop_serving();
                 self.publish_serving(None);
             }
-            if desk.in_progress > 0 {
+            if admission.in_progress > 0 {
                 return;
             }
-            let order = desk.gate.issue_order(report);
-            desk.names = model.caller_names();
+            let order = admission.gate.issue_order(report);
+            admission.names = model.caller_names();
             order
         };
         let Some((set, token)) = order else { return };
         log::info!("gate: ordering {}@{} with token {token}", model.name, model.version);
         let order = LoadOrder { token, set, files: self.file_urls(model) };
         match self.engine.load(order).await {
-            Ok(OrderOutcome::Taken) => {}
+            Ok(OrderOutcome::Accepted) => {}
             Ok(OrderOutcome::Fenced) => {
                 log::warn!("gate: the engine has had a later order than token {token}");
-                self.desk.lock().gate.cancel_order();
+                self.admission.lock().gate.cancel_order();
             }
             // Whether it came will show in the engine's report.
             Err(error) => log::warn!("gate: {error}"),
@@ -360,7 +362,7 @@
     }
 
     fn file_urls(&self, model: &ModelPlan) -> Vec<String> {
-        let swarms = model.parts().into_iter().filter_map(|part| self.hub.get(&part.manifest));
+        let swarms = model.parts().into_iter().filter_map(|part| self.registry.get(&part.manifest));
         let base = &self.weights_url;
         let urls = swarms.flat_map(|handle| {
             let digest = handle.manifest.digest();
@@ -371,7 +373,7 @@
         urls.collect()
     }
 
-    fn has_turn(&self, now: Moment, goal: &LoadGoal, model: &ModelPlan) -> bool {
+    fn may_switch_now(&self, now: Moment, goal: &LoadGoal, model: &ModelPlan) -> bool {
         let Some(own) = goal.own else { return false };
         let domain = &self.node.settings.domain;
         let wanted = model.set_key();
@@ -405,22 +407,23 @@
     }
 
     /// Lets others know how far this box is.
-    fn publish(&mut self, now: Moment, goal: &LoadGoal) {
+    fn publish_progress(&mut self, now: Moment, goal: &LoadGoal) {
         let fetching: Option<SetKey> = goal.model().map(ModelPlan::set_key);
-        let swarms = self.hub.all();
+        let swarms = self.registry.all();
         let chunks: u64 = swarms.iter().map(|one| one.manifest.chunks().len() as u64).sum();
         let held: u64 = swarms.iter().map(|one| one.held()).sum();
         let permille = (held * 1000).checked_div(chunks).unwrap_or(0) as u32;
         let bytes: u64 = swarms.iter().map(|one| one.bytes()).sum();
         let (last, at) = self.state.last_bytes;
-        let rest = now.since(at).as_secs_f64();
-        if rest >= 1.0 {
-            self.state.rate = (bytes.saturating_sub(last) as f64 / rest) as u64;
+        let elapsed = now.since(at).as_secs_f64();
+        if elapsed >= 1.0 {
+            self.state.rate = (bytes.saturating_sub(last) as f64 / elapsed) as u64;
             self.state.last_bytes = (bytes, now);
         }
-        let desk = self.desk.lock();
-        let (serving, in_progress, healthy) = (desk.gate.serving(), desk.in_progress, desk.healthy);
-        drop(desk);
+        let admission = self.admission.lock();
+        let (serving, in_progress, healthy) =
+            (admission.gate.serving(), admission.in_progress, admission.healthy);
+        drop(admission);
         let rate = self.state.rate;
         self.node.update_record(false, |record| {
             if let Some(state) = record.endpoint.as_mut() {
@@ -444,7 +447,7 @@
 }
 
 /// The place of a node in a transfer.
-fn seat_of(record: &NodeRecord) -> PeerLocation {
+fn peer_location(record: &NodeRecord) -> PeerLocation {
     let region = headlatch_types::digest::key_of(record.region.as_str().as_bytes());
     PeerLocation { key: peer_key(&record.id), domain: record.domain.key(), region }
 }
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -1,14 +1,14 @@
 //! The agent: one small process beside each endpoint.
 
-pub mod desk;
+pub mod admission;
+pub mod chunk_cache;
 pub mod engine;
 pub mod fetch;
-pub mod hub;
 pub mod loader;
 pub mod notes;
+pub mod registry;
 pub mod serve;
 pub mod swarm;
-pub mod vault;
 pub mod watch;
 pub mod weights;
 
@@ -38,20 +38,20 @@
 };
 
 use self::{
-    desk::EndpointDesk,
+    admission::EndpointAdmission,
+    chunk_cache::ChunkCache,
     engine::HttpEngine,
-    fetch::OutsideFetcher,
-    hub::SwarmHub,
+    fetch::HttpFetcher,
     loader::{LoaderState, WeightLoader},
+    registry::SwarmRegistry,
     serve::EndpointService,
-    vault::ChunkVault,
 };
 
 /// Time after the word that a box leaves in which requests already on their way still come.
-const LEAVE_TIME: Duration = Duration::from_secs(3);
+const LEAVE_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
 /// How often a stop looks whether requests are still in progress.
-const DRAIN_LOOK: Duration = Duration::from_millis(100);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Binds one port for TCP and UDP.
 pub async fn bind_control(
@@ -70,7 +70,7 @@
     /// What its parts share.
     pub node: Arc<NodeContext>,
     /// What runs at its endpoint.
-    pub desk: Arc<EndpointDesk>,
+    pub admission: Arc<EndpointAdmission>,
     /// Where it answers health checks.
     pub admin: SocketAddr,
     stop: StopHandle,
@@ -98,7 +98,7 @@
         let (stop, signal) = StopHandle::new();
         let tasks = parts.spawn(listener, socket, admin_server, &signal);
         log::info!("agent: {} listens on {control}", parts.node.settings.box_id);
-        Ok(Self { node: parts.node, desk: parts.desk, admin, stop, tasks })
+        Ok(Self { node: parts.node, admission: parts.admission, admin, stop, tasks })
     }
 
     /// Leaves: takes no new work, finishes what is in progress, and stops.
@@ -106,11 +106,11 @@
         log::info!("agent: leaving");
         self.node.update_record(true, |record| record.leaving = true);
         // Entries need a moment to hear of it; what they send until then is refused as not run.
-        self.desk.lock().leaving = true;
-        tokio::time::sleep(LEAVE_TIME).await;
+        self.admission.lock().leaving = true;
+        tokio::time::sleep(LEAVE_GRACE_PERIOD).await;
         let drained = async {
-            while self.desk.lock().in_progress > 0 {
-                tokio::time::sleep(DRAIN_LOOK).await;
+            while self.admission.lock().in_progress > 0 {
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         if tokio::time::timeout(self.node.settings.drain, drained).await.is_err() {
@@ -134,10 +134,10 @@
 struct AgentParts {
     settings: AgentSettings,
     node: Arc<NodeContext>,
-    desk: Arc<EndpointDesk>,
-    hub: Arc<SwarmHub>,
-    vault: Arc<ChunkVault>,
-    down: Arc<LinkPacer>,
+    admission: Arc<EndpointAdmission>,
+    registry: Arc<SwarmRegistry>,
+    chunk_cache: Arc<ChunkCache>,
+    downlink: Arc<LinkPacer>,
     admin: SocketAddr,
 }
 
@@ -151,15 +151,17 @@
                 ..EndpointState::default()
             });
         });
-        let desk = Arc::new(EndpointDesk::new(endpoint, settings.node.box_id.to_string()));
-        let vault = Arc::new(ChunkVault::new(settings.chunk_memory));
-        let down = Arc::new(LinkPacer::new(settings.link.usable()));
-        let up = match settings.link.duplex {
+        let admission =
+            Arc::new(EndpointAdmission::new(endpoint, settings.node.box_id.to_string()));
+        let chunk_cache = Arc::new(ChunkCache::new(settings.chunk_memory));
+        let downlink = Arc::new(LinkPacer::new(settings.link.usable()));
+        let uplink = match settings.link.duplex {
             LinkDuplex::Full => Arc::new(LinkPacer::new(settings.link.usable())),
-            LinkDuplex::Shared => down.clone(),
+            LinkDuplex::Shared => downlink.clone(),
         };
-        let hub = Arc::new(SwarmHub::new(vault.clone(), up, node.metrics.clone()));
-        Self { settings, node, desk, hub, vault, down, admin }
+        let registry =
+            Arc::new(SwarmRegistry::new(chunk_cache.clone(), uplink, node.metrics.clone()));
+        Self { settings, node, admission, registry, chunk_cache, downlink, admin }
     }
 
     fn spawn(
@@ -171,14 +173,14 @@
     ) -> Vec<tokio::task::JoinHandle<()>> {
         let ready = ReadyFlag::default();
         let router = admin::add_routes(Router::new(), &self.node, &ready);
-        let router = weights::add_routes(router, &self.hub, &self.vault);
+        let router = weights::add_routes(router, &self.registry, &self.chunk_cache);
         let mut tasks = vec![
             tokio::spawn(gossip::run(self.node.clone(), socket, signal.clone())),
             tokio::spawn(sync::run(self.node.clone(), signal.clone())),
             tokio::spawn(admin_server.serve(router, signal.clone())),
             tokio::spawn(self.serve_control(listener, signal.clone())),
         ];
-        let watcher = watch::EndpointWatcher::new(self.node.clone(), self.desk.clone(), ready);
+        let watcher = watch::EndpointWatcher::new(self.node.clone(), self.admission.clone(), ready);
         tasks.push(tokio::spawn(watcher.run(signal.clone())));
         if self.settings.endpoint.service.is_none() {
             tasks.push(tokio::spawn(self.loader().run(signal.clone())));
@@ -191,10 +193,10 @@
         listener: TcpListener,
         mut signal: StopSignal,
     ) -> impl Future<Output = ()> + use<> {
-        let host: Arc<dyn SwarmHost> = self.hub.clone();
+        let host: Arc<dyn SwarmHost> = self.registry.clone();
         let node_service = NodeService::new(self.node.clone(), Some(host));
         let node_service = NodeServer::new(node_service).max_decoding_message_size(MOST_MESSAGE);
-        let endpoint = EndpointService::new(self.node.clone(), self.desk.clone());
+        let endpoint = EndpointService::new(self.node.clone(), self.admission.clone());
         let endpoint = EndpointServer::new(endpoint).max_decoding_message_size(MOST_MESSAGE);
         let incoming = TcpListenerStream::new(listener);
         let served = crate::node::service::server()
@@ -212,11 +214,11 @@
         WeightLoader {
             settings: self.settings.clone(),
             node: self.node.clone(),
-            desk: self.desk.clone(),
-            hub: self.hub.clone(),
-            vault: self.vault.clone(),
+            admission: self.admission.clone(),
+            registry: self.registry.clone(),
+            chunk_cache: self.chunk_cache.clone(),
             engine: Arc::new(HttpEngine::new(self.settings.endpoint.address)),
-            fetcher: OutsideFetcher::new(self.down.clone()),
+            fetcher: HttpFetcher::new(self.downlink.clone()),
             weights_url: format!("http://{}", self.admin),
             state: LoaderState::default(),
         }
--- a/crates/daemon/src/agent/hub.rs
+++ b/crates/daemon/src/agent/registry.rs
@@ -14,8 +14,8 @@
 use tonic::{Status, Streaming};
 
 use super::{
-    swarm::{DriverInput, SessionStep, SwarmHandle, manifest_digest, peer_key},
-    vault::ChunkVault,
+    chunk_cache::ChunkCache,
+    swarm::{DriverInput, SessionReply, SwarmHandle, manifest_digest, peer_key},
 };
 use crate::{
     metrics::NodeMetrics,
@@ -26,7 +26,7 @@
 };
 
 /// Notes about transfers that have not begun here which are kept at most.
-const MOST_EARLY_NOTES: usize = 256;
+const MAX_EARLY_NOTES: usize = 256;
 
 /// Bytes of a chunk that are handed to the link at once: what is handed over queues there, and
 /// notes and turns wait behind it.
@@ -34,22 +34,28 @@
 
 /// The transfers that run on this box.
 #[derive(Debug)]
-pub struct SwarmHub {
+pub struct SwarmRegistry {
     swarms: Mutex<HashMap<Digest, SwarmHandle>>,
-    early: Mutex<VecDeque<SwarmNotes>>,
-    vault: Arc<ChunkVault>,
-    up: Arc<LinkPacer>,
+    early_notes: Mutex<VecDeque<SwarmNotes>>,
+    chunk_cache: Arc<ChunkCache>,
+    uplink: Arc<LinkPacer>,
     metrics: NodeMetrics,
 }
 
-impl SwarmHub {
+impl SwarmRegistry {
     /// A hub without transfers, whose chunks go out over `up`.
-    pub fn new(vault: Arc<ChunkVault>, up: Arc<LinkPacer>, metrics: NodeMetrics) -> Self {
-        Self { swarms: Mutex::default(), early: Mutex::default(), vault, up, metrics }
+    pub fn new(chunk_cache: Arc<ChunkCache>, uplink: Arc<LinkPacer>, metrics: NodeMetrics) -> Self {
+        Self {
+            swarms: Mutex::default(),
+            early_notes: Mutex::default(),
+            chunk_cache,
+            uplink,
+            metrics,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<Digest, SwarmHandle>> {
-        self.swarms.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.swarms.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// A transfer, if it runs here.
@@ -61,24 +67,26 @@
     pub fn add(&self, handle: SwarmHandle) {
         let digest = handle.manifest.digest();
         self.lock().insert(digest, handle);
-        let mut early = self.early.lock().unwrap_or_else(|broken| broken.into_inner());
-        let all = std::mem::take(&mut *early);
-        let (told, kept): (VecDeque<_>, VecDeque<_>) =
+        let mut early_notes =
+            self.early_notes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let all = std::mem::take(&mut *early_notes);
+        let (matching, kept): (VecDeque<_>, VecDeque<_>) =
             all.into_iter().partition(|notes| manifest_digest(&notes.manifest) == Some(digest));
-        *early = kept;
-        drop(early);
-        told.into_iter().for_each(|notes| {
+        *early_notes = kept;
+        drop(early_notes);
+        matching.into_iter().for_each(|notes| {
             self.take_notes(notes);
         });
     }
 
     /// Keeps notes about a transfer that has not begun here: their senders will not repeat them.
-    fn keep_early(&self, notes: SwarmNotes) {
-        let mut early = self.early.lock().unwrap_or_else(|broken| broken.into_inner());
-        if early.len() == MOST_EARLY_NOTES {
-            early.pop_front();
+    fn buffer_early_notes(&self, notes: SwarmNotes) {
+        let mut early_notes =
+            self.early_notes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if early_notes.len() == MAX_EARLY_NOTES {
+            early_notes.pop_front();
         }
-        early.push_back(notes);
+        early_notes.push_back(notes);
     }
 
     /// Ends every transfer but those in `wanted`, and drops chunks that none of them has.
@@ -87,7 +95,7 @@
         let before = swarms.len();
         swarms.retain(|digest, _| wanted(digest));
         if swarms.len() != before {
-            self.vault.retain(swarms.values().map(|handle| &*handle.manifest));
+            self.chunk_cache.retain(swarms.values().map(|handle| &*handle.manifest));
         }
     }
 
@@ -97,21 +105,21 @@
     }
 }
 
-impl SwarmHost for SwarmHub {
+impl SwarmHost for SwarmRegistry {
     fn take_notes(&self, notes: SwarmNotes) -> bool {
         let Some(handle) = manifest_digest(&notes.manifest).and_then(|digest| self.get(&digest))
         else {
-            self.keep_early(notes);
+            self.buffer_early_notes(notes);
             return false;
         };
         let Ok(id) = notes.box_id.parse::<BoxId>() else { return false };
         let from = peer_key(&id);
         let chunks = handle.manifest.chunks().len() as u32;
-        let pulse = PeerStatus { queue: notes.queue, drawn: notes.drawn.min(chunks) };
+        let status = PeerStatus { queue: notes.queue, drawn: notes.drawn.min(chunks) };
         for message in notes.notes {
             let Ok(note) = codec::decode_note(message, chunks) else { continue };
-            let event = SwarmEvent::Note { from, note, status: pulse };
-            handle.tell(DriverInput::Event(event));
+            let event = SwarmEvent::Note { from, note, status };
+            handle.try_send(DriverInput::Event(event));
         }
         true
     }
@@ -119,8 +127,8 @@
     fn serve_chunk(&self, steps: Streaming<FetchStep>) -> PieceStream {
         let server = ChunkServer {
             handles: self.lock().clone(),
-            vault: self.vault.clone(),
-            up: self.up.clone(),
+            chunk_cache: self.chunk_cache.clone(),
+            uplink: self.uplink.clone(),
             metrics: self.metrics.clone(),
         };
         Box::pin(server.serve(steps))
@@ -143,19 +151,19 @@
 /// Serves one fetch of a chunk.
 struct ChunkServer {
     handles: HashMap<Digest, SwarmHandle>,
-    vault: Arc<ChunkVault>,
-    up: Arc<LinkPacer>,
+    chunk_cache: Arc<ChunkCache>,
+    uplink: Arc<LinkPacer>,
     metrics: NodeMetrics,
 }
 
 /// Tells the driver that a box no longer wants what it asked for, however the stream ends.
-struct AskGuard {
+struct RequestGuard {
     inputs: mpsc::Sender<DriverInput>,
     from: PeerKey,
     chunk: ChunkIndex,
 }
 
-impl Drop for AskGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let event = SwarmEvent::RequestCancelled { from: self.from, chunk: self.chunk };
         let inputs = self.inputs.clone();
@@ -172,95 +180,95 @@
         mut steps: Streaming<FetchStep>,
     ) -> impl futures_util::Stream<Item = Result<ChunkPiece, Status>> + Send {
         async_stream::try_stream! {
-            let ask = first_ask(&mut steps).await?;
-            let (handle, from) = self.find(&ask)?;
-            let chunk = ChunkIndex(ask.chunk);
+            let request = read_request(&mut steps).await?;
+            let (handle, from) = self.find(&request)?;
+            let chunk = ChunkIndex(request.chunk);
             let place = handle.manifest.chunk(chunk).cloned();
             let place = place.ok_or_else(|| Status::invalid_argument("no such chunk"))?;
             let (session, mut answers) = mpsc::channel(4);
             let inputs = handle.inputs();
-            let input = DriverInput::Ask { from, chunk, held: ask.held, session };
+            let input = DriverInput::ChunkRequested { from, chunk, held: request.held, session };
             inputs.send(input).await.map_err(|_| Status::not_found("the transfer has ended"))?;
-            let _guard = AskGuard { inputs: inputs.clone(), from, chunk };
+            let _guard = RequestGuard { inputs: inputs.clone(), from, chunk };
             // Held in the handle so that the driver lives as long as its sessions.
             let _handle = handle;
             loop {
-                match next_word(&mut answers, &mut steps).await? {
-                    StreamWord::Turn => yield ChunkPiece { turn: true, ..ChunkPiece::default() },
-                    StreamWord::Step(Step::Take(_)) => break,
-                    StreamWord::Step(Step::Pass(_)) => {
-                        tell(&inputs, SwarmEvent::GrantDeferred { from, chunk }).await;
+                match next_event(&mut answers, &mut steps).await? {
+                    StreamEvent::Granted => yield ChunkPiece { turn: true, ..ChunkPiece::default() },
+                    StreamEvent::Step(Step::Take(_)) => break,
+                    StreamEvent::Step(Step::Pass(_)) => {
+                        send_event(&inputs, SwarmEvent::GrantDeferred { from, chunk }).await;
                     }
-                    StreamWord::Step(Step::Resume(_)) => {
-                        tell(&inputs, SwarmEvent::GrantResumed { from, chunk }).await;
+                    StreamEvent::Step(Step::Resume(_)) => {
+                        send_event(&inputs, SwarmEvent::GrantResumed { from, chunk }).await;
                     }
-                    StreamWord::Step(Step::Ask(_)) => {
+                    StreamEvent::Step(Step::Ask(_)) => {
                         Err(Status::invalid_argument("asked twice"))?;
                     }
-                    StreamWord::Closed => return,
+                    StreamEvent::Closed => return,
                 }
             }
-            let data = self.vault.get(&place.digest);
+            let data = self.chunk_cache.get(&place.digest);
             let mut rest = data.ok_or_else(|| Status::not_found("the chunk is gone"))?;
             while !rest.is_empty() {
                 let piece = rest.split_to(rest.len().min(PIECE_BYTES));
-                self.up.wait_until_free(piece.len()).await;
+                self.uplink.wait_until_free(piece.len()).await;
                 self.metrics.count_chunk("up", piece.len() as u64);
                 yield ChunkPiece { data: piece, turn: false };
             }
         }
     }
 
-    fn find(&self, ask: &FetchChunkRequest) -> Result<(SwarmHandle, PeerKey), Status> {
-        let digest = manifest_digest(&ask.manifest);
+    fn find(&self, request: &FetchChunkRequest) -> Result<(SwarmHandle, PeerKey), Status> {
+        let digest = manifest_digest(&request.manifest);
         let handle = digest.and_then(|digest| self.handles.get(&digest).cloned());
         let handle = handle.ok_or_else(|| Status::not_found("no such transfer here"))?;
         let id: BoxId =
-            ask.box_id.parse().map_err(|_| Status::invalid_argument("box_id is no name"))?;
+            request.box_id.parse().map_err(|_| Status::invalid_argument("box_id is no name"))?;
         Ok((handle, peer_key(&id)))
     }
 }
 
 /// What comes next on the stream of a fetch.
-enum StreamWord {
+enum StreamEvent {
     /// The driver says that the turn has come.
-    Turn,
+    Granted,
     /// The asker says something.
     Step(Step),
     /// The asker is gone.
     Closed,
 }
 
-async fn next_word(
-    answers: &mut mpsc::Receiver<SessionStep>,
+async fn next_event(
+    answers: &mut mpsc::Receiver<SessionReply>,
     steps: &mut Streaming<FetchStep>,
-) -> Result<StreamWord, Status> {
+) -> Result<StreamEvent, Status> {
     tokio::select! {
         answer = answers.recv() => match answer {
-            Some(SessionStep::Turn) => Ok(StreamWord::Turn),
-            Some(SessionStep::Refuse(failure)) => Err(refusal(failure)),
+            Some(SessionReply::Granted) => Ok(StreamEvent::Granted),
+            Some(SessionReply::Refused(failure)) => Err(refusal_status(failure)),
             None => Err(Status::not_found("the transfer has ended")),
         },
         step = steps.message() => {
             let step = step?.and_then(|step| step.step);
-            Ok(step.map_or(StreamWord::Closed, StreamWord::Step))
+            Ok(step.map_or(StreamEvent::Closed, StreamEvent::Step))
         }
     }
 }
 
-async fn tell(inputs: &mpsc::Sender<DriverInput>, event: SwarmEvent) {
+async fn send_event(inputs: &mpsc::Sender<DriverInput>, event: SwarmEvent) {
     // The driver may have ended; the stream then ends at its next step.
     let _ = inputs.send(DriverInput::Event(event)).await;
 }
 
-async fn first_ask(steps: &mut Streaming<FetchStep>) -> Result<FetchChunkRequest, Status> {
+async fn read_request(steps: &mut Streaming<FetchStep>) -> Result<FetchChunkRequest, Status> {
     match steps.message().await?.and_then(|step| step.step) {
-        Some(Step::Ask(ask)) => Ok(ask),
+        Some(Step::Ask(request)) => Ok(request),
         _ => Err(Status::invalid_argument("the first step must be an ask")),
     }
 }
 
-fn refusal(failure: FetchFailure) -> Status {
+fn refusal_status(failure: FetchFailure) -> Status {
     match failure {
         FetchFailure::Busy => Status::resource_exhausted("busy"),
         _ => Status::not_found("the chunk is not here"),
--- a/crates/daemon/src/agent/serve.rs
+++ b/crates/daemon/src/agent/serve.rs
@@ -15,20 +15,20 @@
 use opentelemetry::trace::SpanKind;
 use tonic::{Request, Response, Status};
 
-use super::desk::{EndpointDesk, RunPermit};
+use super::admission::{EndpointAdmission, RunPermit};
 use crate::{
     node::{NodeContext, codec},
     trace::{HopSpan, TRACEPARENT},
 };
 
 /// When it is worth asking a busy endpoint again.
-const BUSY_RETRY: Duration = Duration::from_millis(200);
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// The last event of a streamed completion; without it a stream is not whole.
-const STREAM_END: &[u8] = b"data: [DONE]";
+const DONE_EVENT: &[u8] = b"data: [DONE]";
 
 /// Headers that belong to one connection and are not passed on.
-const HOP_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -45,15 +45,15 @@
 /// Runs requests at the endpoint of this box.
 pub struct EndpointService {
     node: Arc<NodeContext>,
-    desk: Arc<EndpointDesk>,
+    admission: Arc<EndpointAdmission>,
     pooled: HttpCaller,
-    fresh: HttpCaller,
+    unpooled: HttpCaller,
 }
 
 impl EndpointService {
     /// The service of `desk`'s endpoint.
-    pub fn new(node: Arc<NodeContext>, desk: Arc<EndpointDesk>) -> Self {
-        Self { node, desk, pooled: HttpCaller::pooled(), fresh: HttpCaller::fresh() }
+    pub fn new(node: Arc<NodeContext>, admission: Arc<EndpointAdmission>) -> Self {
+        Self { node, admission, pooled: HttpCaller::pooled(), unpooled: HttpCaller::fresh() }
     }
 }
 
@@ -64,12 +64,12 @@
     async fn serve(&self, request: Request<ServeRequest>) -> Result<Response<FrameStream>, Status> {
         let request = request.into_inner();
         let parent = Some(request.traceparent.as_str());
-        let run = EndpointRun {
+        let run = EndpointRequest {
             span: self.node.spans.begin("agent", SpanKind::Server, parent),
             node: self.node.clone(),
-            desk: self.desk.clone(),
-            caller: if request.repeatable { self.pooled.clone() } else { self.fresh.clone() },
-            frames: FrameMaker { request_id: request.request_id.clone(), sequence: 0 },
+            admission: self.admission.clone(),
+            caller: if request.repeatable { self.pooled.clone() } else { self.unpooled.clone() },
+            frames: FrameBuilder { request_id: request.request_id.clone(), sequence: 0 },
             request,
         };
         Ok(Response::new(Box::pin(run.stream())))
@@ -77,12 +77,12 @@
 }
 
 /// Makes the frames of one answer.
-struct FrameMaker {
+struct FrameBuilder {
     request_id: String,
     sequence: u64,
 }
 
-impl FrameMaker {
+impl FrameBuilder {
     fn frame(&mut self, part: Part, load: Option<LoadReport>) -> ServeFrame {
         let sequence = self.sequence;
         self.sequence += 1;
@@ -91,20 +91,20 @@
 }
 
 /// One request at the endpoint.
-struct EndpointRun {
+struct EndpointRequest {
     span: HopSpan,
     node: Arc<NodeContext>,
-    desk: Arc<EndpointDesk>,
+    admission: Arc<EndpointAdmission>,
     caller: HttpCaller,
-    frames: FrameMaker,
+    frames: FrameBuilder,
     request: ServeRequest,
 }
 
-impl EndpointRun {
+impl EndpointRequest {
     fn stream(mut self) -> impl Stream<Item = Result<ServeFrame, Status>> + Send {
         async_stream::stream! {
-            let desk = self.desk.clone();
-            let permit = match desk.admit(self.node.now(), &self.request) {
+            let admission = self.admission.clone();
+            let permit = match admission.admit(self.node.now(), &self.request) {
                 Ok(permit) => permit,
                 Err(cause) => {
                     yield Ok(self.refuse(cause));
@@ -119,7 +119,7 @@
                 Ok(Ok(response)) => response,
                 Ok(Err(error)) if error.verdict == RunVerdict::NotRun => {
                     log::warn!("serve: {} did not reach its endpoint, {error}", self.request.request_id);
-                    permit.unrun();
+                    permit.release_key();
                     yield Ok(self.refuse(RefusalCause::Unreachable));
                     return;
                 }
@@ -159,8 +159,8 @@
                 sent_bytes += piece.len() as u64;
                 yield Ok(self.frames.frame(Part::Data(Data { body: piece }), None));
             }
-            let must_end = streams && parts.status.is_success() && permit.set.is_some();
-            if must_end && !tail.is_ended() {
+            let requires_done_event = streams && parts.status.is_success() && permit.set.is_some();
+            if requires_done_event && !tail.is_ended() {
                 let message = "the engine's stream lacks its last event";
                 yield Ok(self.end(RunVerdict::MayHaveRun, sent_bytes, message.to_owned()));
                 return;
@@ -182,18 +182,18 @@
         if let Ok(value) = HeaderValue::from_str(&request.priority.to_string()) {
             headers.insert("x-priority", value);
         }
-        let address = self.desk.endpoint().address;
+        let address = self.admission.endpoint().address;
         self.caller.send(address, method, &request.path, headers, request.body.clone()).await
     }
 
     fn load(&self) -> Option<LoadReport> {
-        let in_progress = self.desk.lock().in_progress;
-        Some(LoadReport { in_progress, slots: self.desk.endpoint().slots, queued: 0 })
+        let in_progress = self.admission.lock().in_progress;
+        Some(LoadReport { in_progress, slots: self.admission.endpoint().slots, queued: 0 })
     }
 
     fn refuse(&mut self, cause: RefusalCause) -> ServeFrame {
         self.node.metrics.count_refusal(cause.as_str_name());
-        let retry = if cause == RefusalCause::Busy { BUSY_RETRY } else { Duration::ZERO };
+        let retry = if cause == RefusalCause::Busy { BUSY_RETRY_AFTER } else { Duration::ZERO };
         let retry_after_ms = retry.as_millis() as u64;
         let refused = Refused { cause: cause.into(), retry_after_ms };
         let load = self.load();
@@ -235,7 +235,7 @@
 
     fn is_ended(&self) -> bool {
         let text = self.0.trim_ascii_end();
-        text.ends_with(STREAM_END)
+        text.ends_with(DONE_EVENT)
     }
 }
 
@@ -246,7 +246,7 @@
 
 /// Headers as messages, without those of one connection.
 pub fn encode_headers(headers: &HeaderMap) -> Vec<Header> {
-    let passed = headers.iter().filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
+    let passed = headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()));
     passed
         .map(|(name, value)| Header {
             name: name.to_string(),
@@ -260,7 +260,7 @@
     let decoded = headers.iter().filter_map(|header| {
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
         let value = HeaderValue::from_bytes(&header.value).ok()?;
-        (!HOP_HEADERS.contains(&name.as_str())).then_some((name, value))
+        (!HOP_BY_HOP_HEADERS.contains(&name.as_str())).then_some((name, value))
     });
     let mut map = HeaderMap::new();
     for (name, value) in decoded.filter(|(name, _)| *name != http::header::CONTENT_LENGTH) {
--- a/crates/daemon/src/agent/swarm.rs
+++ b/crates/daemon/src/agent/swarm.rs
@@ -25,9 +25,9 @@
 use tokio::{sync::mpsc, task::AbortHandle};
 
 use super::{
-    fetch::{ChunkReader, PeerAsk, fetch_from_peer},
-    notes::NoteCarrier,
-    vault::ChunkVault,
+    chunk_cache::ChunkCache,
+    fetch::{ChunkReader, PeerFetchRequest, fetch_from_peer},
+    notes::NoteSender,
 };
 use crate::{
     decisions,
@@ -35,7 +35,7 @@
 };
 
 /// Events that wait for a driver; notes beyond are lost, which the protocol bears.
-const MOST_INPUTS: usize = 8192;
+const MAX_QUEUED_INPUTS: usize = 8192;
 
 /// What a driver is told.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     /// Something for the planner.
     Event(SwarmEvent),
     /// A box asks for a chunk; what becomes of it is told over `session`.
-    Ask {
+    ChunkRequested {
         /// Who asks.
         from: PeerKey,
         /// For what.
@@ -51,19 +51,19 @@
         /// Chunks that it holds.
         held: u32,
         /// Where to tell.
-        session: mpsc::Sender<SessionStep>,
+        session: mpsc::Sender<SessionReply>,
     },
     /// The boxes that take part, with their addresses.
-    Seats(Vec<(PeerLocation, SocketAddr)>),
+    Peers(Vec<(PeerLocation, SocketAddr)>),
 }
 
 /// What becomes of a box's ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SessionStep {
+pub enum SessionReply {
     /// Its turn has come.
-    Turn,
+    Granted,
     /// It will not be served now.
-    Refuse(FetchFailure),
+    Refused(FetchFailure),
 }
 
 /// A transfer that runs.
@@ -75,7 +75,7 @@
     pub text: Bytes,
     inputs: mpsc::Sender<DriverInput>,
     state: Arc<SwarmState>,
-    _task: Arc<StopOnDrop>,
+    _task: Arc<AbortOnDrop>,
 }
 
 /// Figures that a driver keeps up to date.
@@ -88,9 +88,9 @@
 
 /// Ends a task when the last handle to it is gone.
 #[derive(Debug)]
-struct StopOnDrop(AbortHandle);
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for StopOnDrop {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -113,7 +113,7 @@
     }
 
     /// Tells the driver something; false if it has too much to do to listen.
-    pub fn tell(&self, input: DriverInput) -> bool {
+    pub fn try_send(&self, input: DriverInput) -> bool {
         self.inputs.try_send(input).is_ok()
     }
 
@@ -125,15 +125,15 @@
 
 /// What a driver works with.
 #[derive(Debug, Clone)]
-pub struct SwarmTools {
+pub struct SwarmContext {
     /// This node.
     pub node: Arc<NodeContext>,
     /// Chunks.
-    pub vault: Arc<ChunkVault>,
+    pub chunk_cache: Arc<ChunkCache>,
     /// This box's link inwards.
-    pub down: Arc<LinkPacer>,
+    pub downlink: Arc<LinkPacer>,
     /// Carries notes to other boxes.
-    pub carrier: Arc<dyn NoteCarrier>,
+    pub note_sender: Arc<dyn NoteSender>,
     /// The origin.
     pub origin: Option<Arc<dyn ChunkReader>>,
     /// The store.
@@ -142,108 +142,108 @@
 
 /// Carries out what one planner decides.
 struct SwarmDriver {
-    tools: SwarmTools,
+    context: SwarmContext,
     location: String,
     manifest: Arc<Manifest>,
     tick: Duration,
     planner: SwarmPlanner,
     inputs: mpsc::Receiver<DriverInput>,
-    own_inputs: mpsc::Sender<DriverInput>,
+    input_sender: mpsc::Sender<DriverInput>,
     state: Arc<SwarmState>,
     addresses: HashMap<PeerKey, SocketAddr>,
-    fetches: HashMap<ChunkIndex, OpenFetch>,
-    sessions: HashMap<(PeerKey, ChunkIndex), mpsc::Sender<SessionStep>>,
+    fetches: HashMap<ChunkIndex, ActiveFetch>,
+    sessions: HashMap<(PeerKey, ChunkIndex), mpsc::Sender<SessionReply>>,
 }
 
 #[derive(Debug)]
-struct OpenFetch {
+struct ActiveFetch {
     source: ChunkSource,
     steps: mpsc::Sender<Step>,
-    _task: StopOnDrop,
+    _task: AbortOnDrop,
 }
 
 /// Starts the transfer of `manifest`.
 pub fn start(
-    tools: SwarmTools,
+    context: SwarmContext,
     location: String,
     (text, manifest): (Bytes, Arc<Manifest>),
     settings: SwarmSettings,
     me: PeerLocation,
 ) -> SwarmHandle {
-    let (sender, inputs) = mpsc::channel(MOST_INPUTS);
+    let (sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
     let state = Arc::new(SwarmState::default());
     let mut held = ChunkSet::new(settings.chunks);
-    tools.vault.held(&manifest).into_iter().for_each(|chunk| {
+    context.chunk_cache.held(&manifest).into_iter().for_each(|chunk| {
         held.insert(chunk);
     });
     let salt = manifest.digest().key();
     let tick = settings.timings.tick;
-    let planner = SwarmPlanner::begin(settings, salt, me, held, tools.node.now());
+    let planner = SwarmPlanner::begin(settings, salt, me, held, context.node.now());
     let driver = SwarmDriver {
-        tools,
+        context,
         location,
         tick,
         manifest: manifest.clone(),
         planner,
         inputs,
-        own_inputs: sender.clone(),
+        input_sender: sender.clone(),
         state: state.clone(),
         addresses: HashMap::new(),
         fetches: HashMap::new(),
         sessions: HashMap::new(),
     };
     let task = tokio::spawn(driver.run());
-    let task = Arc::new(StopOnDrop(task.abort_handle()));
+    let task = Arc::new(AbortOnDrop(task.abort_handle()));
     SwarmHandle { manifest, text, inputs: sender, state, _task: task }
 }
 
 impl SwarmDriver {
     async fn run(mut self) {
-        let mut ticks = self.tools.node.timer.subscribe(self.tick);
+        let mut ticks = self.context.node.timer.subscribe(self.tick);
         loop {
             tokio::select! {
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 tick = ticks.next() => match tick {
-                    Some(_) => self.handle(SwarmEvent::Tick),
+                    Some(_) => self.handle_event(SwarmEvent::Tick),
                     None => return,
                 },
             }
         }
     }
 
-    fn take(&mut self, input: DriverInput) {
+    fn handle_input(&mut self, input: DriverInput) {
         match input {
-            DriverInput::Event(event) => self.handle(event),
-            DriverInput::Ask { from, chunk, held, session } => {
+            DriverInput::Event(event) => self.handle_event(event),
+            DriverInput::ChunkRequested { from, chunk, held, session } => {
                 self.sessions.insert((from, chunk), session);
-                self.handle(SwarmEvent::Requested { from, chunk, held });
+                self.handle_event(SwarmEvent::Requested { from, chunk, held });
             }
-            DriverInput::Seats(seats) => {
-                self.addresses = seats.iter().map(|(seat, address)| (seat.key, *address)).collect();
-                let seats = seats.into_iter().map(|(seat, _)| seat).collect();
-                self.handle(SwarmEvent::Peers(seats));
+            DriverInput::Peers(peers) => {
+                self.addresses = peers.iter().map(|(peer, address)| (peer.key, *address)).collect();
+                let peers = peers.into_iter().map(|(peer, _)| peer).collect();
+                self.handle_event(SwarmEvent::Peers(peers));
             }
         }
     }
 
-    fn handle(&mut self, event: SwarmEvent) {
-        self.forget_ended(&event);
-        let actions = self.planner.handle(self.tools.node.now(), event);
+    fn handle_event(&mut self, event: SwarmEvent) {
+        self.remove_ended(&event);
+        let actions = self.planner.handle(self.context.node.now(), event);
         let mut notes: HashMap<PeerKey, Vec<SwarmNote>> = HashMap::new();
         for action in actions {
             match action {
                 SwarmAction::SendNote { to, note } => notes.entry(to).or_default().push(note),
-                other => self.act(other),
+                other => self.execute(other),
             }
         }
         notes.into_iter().for_each(|(to, notes)| self.send_notes(to, notes));
         self.state.held.store(self.planner.progress().held.into(), Ordering::Relaxed);
     }
 
-    fn forget_ended(&mut self, event: &SwarmEvent) {
+    fn remove_ended(&mut self, event: &SwarmEvent) {
         match event {
             SwarmEvent::Verified { chunk, source } | SwarmEvent::Failed { chunk, source, .. } => {
                 self.fetches.retain(|open, fetch| open != chunk || fetch.source != *source);
@@ -255,18 +255,20 @@
         }
     }
 
-    fn act(&mut self, action: SwarmAction) {
+    fn execute(&mut self, action: SwarmAction) {
         match action {
             SwarmAction::Fetch { chunk, source } => self.fetch(chunk, source),
             SwarmAction::Cancel { chunk, .. } => {
                 self.fetches.remove(&chunk);
             }
-            SwarmAction::AcceptGrant { chunk, .. } => self.answer_turn(chunk, Step::Take(true)),
-            SwarmAction::DeferGrant { chunk, .. } => self.answer_turn(chunk, Step::Pass(true)),
-            SwarmAction::ResumeGrant { chunk, .. } => self.answer_turn(chunk, Step::Resume(true)),
-            SwarmAction::Grant { to, chunk } => self.answer_ask(to, chunk, SessionStep::Turn),
+            SwarmAction::AcceptGrant { chunk, .. } => self.send_step(chunk, Step::Take(true)),
+            SwarmAction::DeferGrant { chunk, .. } => self.send_step(chunk, Step::Pass(true)),
+            SwarmAction::ResumeGrant { chunk, .. } => self.send_step(chunk, Step::Resume(true)),
+            SwarmAction::Grant { to, chunk } => {
+                self.reply_to_request(to, chunk, SessionReply::Granted)
+            }
             SwarmAction::Refuse { to, chunk, failure } => {
-                self.answer_ask(to, chunk, SessionStep::Refuse(failure));
+                self.reply_to_request(to, chunk, SessionReply::Refused(failure));
                 self.sessions.remove(&(to, chunk));
             }
             SwarmAction::Complete => self.complete(),
@@ -279,25 +281,25 @@
         self.state.complete.store(true, Ordering::Relaxed);
     }
 
-    fn answer_turn(&mut self, chunk: ChunkIndex, step: Step) {
+    fn send_step(&mut self, chunk: ChunkIndex, step: Step) {
         if let Some(fetch) = self.fetches.get(&chunk) {
             // The fetch may have ended just now; then nobody waits for the step.
             let _ = fetch.steps.try_send(step);
         }
     }
 
-    fn answer_ask(&mut self, to: PeerKey, chunk: ChunkIndex, step: SessionStep) {
+    fn reply_to_request(&mut self, to: PeerKey, chunk: ChunkIndex, reply: SessionReply) {
         let session = self.sessions.get(&(to, chunk));
-        let told = session.is_some_and(|session| session.try_send(step).is_ok());
-        if !told && step == SessionStep::Turn {
+        let told = session.is_some_and(|session| session.try_send(reply).is_ok());
+        if !told && reply == SessionReply::Granted {
             self.sessions.remove(&(to, chunk));
             let event = SwarmEvent::RequestCancelled { from: to, chunk };
-            self.send_later(DriverInput::Event(event));
+            self.queue_input(DriverInput::Event(event));
         }
     }
 
-    fn send_later(&self, input: DriverInput) {
-        let inputs = self.own_inputs.clone();
+    fn queue_input(&self, input: DriverInput) {
+        let inputs = self.input_sender.clone();
         tokio::spawn(async move {
             // The driver may have ended; then nobody needs to know.
             let _ = inputs.send(input).await;
@@ -307,7 +309,7 @@
     fn fetch(&mut self, chunk: ChunkIndex, source: ChunkSource) {
         let (steps, answers) = mpsc::channel(4);
         let fetch = ChunkFetch {
-            tools: self.tools.clone(),
+            context: self.context.clone(),
             manifest: self.manifest.clone(),
             chunk,
             source,
@@ -316,37 +318,37 @@
                 ChunkSource::Origin | ChunkSource::Store => None,
             },
             held: self.planner.progress().held,
-            inputs: self.own_inputs.clone(),
+            inputs: self.input_sender.clone(),
             state: self.state.clone(),
         };
         let task = tokio::spawn(fetch.run(answers));
-        let task = StopOnDrop(task.abort_handle());
-        self.fetches.insert(chunk, OpenFetch { source, steps, _task: task });
+        let task = AbortOnDrop(task.abort_handle());
+        self.fetches.insert(chunk, ActiveFetch { source, steps, _task: task });
     }
 
     fn send_notes(&self, to: PeerKey, notes: Vec<SwarmNote>) {
         let Some(address) = self.addresses.get(&to).copied() else { return };
-        let node = &self.tools.node;
-        let pulse = self.planner.status();
+        let node = &self.context.node;
+        let status = self.planner.status();
         let message = SwarmNotes {
             manifest: Bytes::copy_from_slice(self.manifest.digest().as_bytes()),
             box_id: node.settings.box_id.to_string(),
             notes: notes.iter().map(codec::encode_note).collect(),
-            queue: pulse.queue,
-            drawn: pulse.drawn,
+            queue: status.queue,
+            drawn: status.drawn,
         };
-        let inputs = self.own_inputs.clone();
+        let inputs = self.input_sender.clone();
         let lost = move || {
             // A driver that has ended, or that has too much to do, learns it from the silence.
             let _ = inputs.try_send(DriverInput::Event(SwarmEvent::PeerUnreachable(to)));
         };
-        self.tools.carrier.send(address, message, Box::new(lost));
+        self.context.note_sender.send(address, message, Box::new(lost));
     }
 }
 
 /// One fetch.
 struct ChunkFetch {
-    tools: SwarmTools,
+    context: SwarmContext,
     manifest: Arc<Manifest>,
     chunk: ChunkIndex,
     source: ChunkSource,
@@ -359,17 +361,17 @@
 impl ChunkFetch {
     async fn run(self, answers: mpsc::Receiver<Step>) {
         let (chunk, source) = (self.chunk, self.source);
-        let begun = self.tools.node.now();
-        let brought = self.bring_in(answers).await;
+        let started = self.context.node.now();
+        let result = self.fetch_and_store(answers).await;
         if source == ChunkSource::Origin {
-            self.note_draw(begun, brought.err());
+            self.record_origin_read(started, result.err());
         }
-        let event = match brought {
+        let event = match result {
             Ok(()) => SwarmEvent::Verified { chunk, source },
             Err(failure) => SwarmEvent::Failed { chunk, source, failure },
         };
         if let SwarmEvent::Failed { failure, .. } = &event {
-            self.tools.node.metrics.count_chunk_failure(failure_name(*failure));
+            self.context.node.metrics.count_chunk_failure(failure_name(*failure));
         }
         // The driver may have ended; then nobody needs to know.
         let _ = self.inputs.send(DriverInput::Event(event)).await;
@@ -377,23 +379,23 @@
 
     /// Writes down what came of a draw: how many of them a burst takes, and how long each, is not seen
     /// from any single box.
-    fn note_draw(&self, begun: Moment, failure: Option<FetchFailure>) {
+    fn record_origin_read(&self, started: Moment, failure: Option<FetchFailure>) {
         let fields = json!({
             "chunk": self.chunk.0, "manifest": self.manifest.digest().to_string(),
-            "took_ms": self.tools.node.now().since(begun).as_millis() as u64,
+            "took_ms": self.context.node.now().since(started).as_millis() as u64,
             "failure": failure.map(failure_name),
         });
         decisions::note("weights", "drawn", fields);
     }
 
-    async fn bring_in(&self, answers: mpsc::Receiver<Step>) -> Result<(), FetchFailure> {
+    async fn fetch_and_store(&self, answers: mpsc::Receiver<Step>) -> Result<(), FetchFailure> {
         let place = self.manifest.chunk(self.chunk).ok_or(FetchFailure::Absent)?;
         let data = self.read(place.length as usize, answers).await?;
         let bytes = data.len() as u64;
-        match self.tools.vault.put(self.manifest.kind(), place.digest, data) {
+        match self.context.chunk_cache.put(self.manifest.kind(), place.digest, data) {
             Some(Ok(())) => {
                 self.state.bytes.fetch_add(bytes, Ordering::Relaxed);
-                self.tools.node.metrics.count_chunk(source_name(self.source), bytes);
+                self.context.node.metrics.count_chunk(source_name(self.source), bytes);
                 Ok(())
             }
             Some(Err(full)) => {
@@ -414,8 +416,8 @@
         answers: mpsc::Receiver<Step>,
     ) -> Result<Bytes, FetchFailure> {
         let outside = match self.source {
-            ChunkSource::Origin => self.tools.origin.as_ref(),
-            ChunkSource::Store => self.tools.store.as_ref(),
+            ChunkSource::Origin => self.context.origin.as_ref(),
+            ChunkSource::Store => self.context.store.as_ref(),
             ChunkSource::Peer(_) => return self.read_from_peer(length, answers).await,
         };
         let outside = outside.ok_or(FetchFailure::Absent)?;
@@ -427,25 +429,25 @@
         length: usize,
         answers: mpsc::Receiver<Step>,
     ) -> Result<Bytes, FetchFailure> {
-        let ask = PeerAsk {
+        let request = PeerFetchRequest {
             address: self.address.ok_or(FetchFailure::Unreachable)?,
             manifest: self.manifest.digest(),
             chunk: self.chunk,
             length,
-            box_id: self.tools.node.settings.box_id.to_string(),
+            box_id: self.context.node.settings.box_id.to_string(),
             held: self.held,
         };
-        let (turns, mut told) = mpsc::channel(1);
-        let pass_on = async {
-            while told.recv().await == Some(()) {
+        let (grants, mut granted) = mpsc::channel(1);
+        let forward_grants = async {
+            while granted.recv().await == Some(()) {
                 let event = SwarmEvent::Granted { chunk: self.chunk, source: self.source };
                 // The driver may have ended; then this task ends as well.
                 let _ = self.inputs.send(DriverInput::Event(event)).await;
             }
         };
-        let channels = &self.tools.node.channels;
-        let fetch = fetch_from_peer(channels, ask, answers, turns, &self.tools.down);
-        let (fetched, ()) = tokio::join!(fetch, pass_on);
+        let channels = &self.context.node.channels;
+        let fetch = fetch_from_peer(channels, request, answers, grants, &self.context.downlink);
+        let (fetched, ()) = tokio::join!(fetch, forward_grants);
         fetched
     }
 }
--- a/crates/daemon/src/agent/weights.rs
+++ b/crates/daemon/src/agent/weights.rs
@@ -14,32 +14,41 @@
     server::{Router, route::get},
 };
 
-use super::{hub::SwarmHub, vault::ChunkVault};
+use super::{chunk_cache::ChunkCache, registry::SwarmRegistry};
 use crate::node::admin::text;
 
 /// Adds `/weights/{manifest}/{path}` to a router.
-pub fn add_routes(router: Router, hub: &Arc<SwarmHub>, vault: &Arc<ChunkVault>) -> Router {
-    let (hub, vault) = (hub.clone(), vault.clone());
+pub fn add_routes(
+    router: Router,
+    registry: &Arc<SwarmRegistry>,
+    chunk_cache: &Arc<ChunkCache>,
+) -> Router {
+    let (registry, chunk_cache) = (registry.clone(), chunk_cache.clone());
     router.route(
         "/weights/{manifest}/{*path}",
         get(move |uri: Uri| async move {
-            read_file(&hub, &vault, &uri)
+            read_file(&registry, &chunk_cache, &uri)
                 .unwrap_or_else(|| text(StatusCode::NOT_FOUND, "no such file here\n".to_owned()))
         }),
     )
 }
 
-fn read_file(hub: &SwarmHub, vault: &Arc<ChunkVault>, uri: &Uri) -> Option<Response> {
+fn read_file(
+    registry: &SwarmRegistry,
+    chunk_cache: &Arc<ChunkCache>,
+    uri: &Uri,
+) -> Option<Response> {
     let rest = uri.path().strip_prefix("/weights/")?;
     let (digest, path) = rest.split_once('/')?;
     let digest: Digest = digest.parse().ok()?;
     let path = percent_decode_str(path).decode_utf8().ok()?;
-    let handle = hub.get(&digest)?;
+    let handle = registry.get(&digest)?;
     let manifest = handle.manifest;
     let file = manifest.files().iter().position(|file| file.path == path)?;
     let chunks = manifest.chunks().iter().filter(|place| place.file == file);
     // All chunks are taken out at once, so that a file is whole or not there at all.
-    let data: Vec<Bytes> = chunks.map(|place| vault.get(&place.digest)).collect::<Option<_>>()?;
+    let data: Vec<Bytes> =
+        chunks.map(|place| chunk_cache.get(&place.digest)).collect::<Option<_>>()?;
     let frames = data.into_iter().map(|chunk| Ok::<_, BoxError>(Frame::data(chunk)));
     Some(Response::new(Body::from_stream(futures_util::stream::iter(frames))))
 }
--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -46,7 +46,7 @@
     transfer::{TransferDesk, TransferLinks},
 };
 use crate::{
-    agent::{bind_control, hub::SwarmHub, vault::ChunkVault},
+    agent::{bind_control, chunk_cache::ChunkCache, registry::SwarmRegistry},
     decisions,
     error::DaemonError,
     node::{
@@ -168,10 +168,10 @@
             wanted_news: tokio::sync::Notify::new(),
             settings,
         });
-        let vault = Arc::new(ChunkVault::new(PIECE_MEMORY));
+        let vault = Arc::new(ChunkCache::new(PIECE_MEMORY));
         let down = ByteRate::from_bytes_per_second(rate.bytes_per_second() * DOWN_PERCENT / 100);
         let (up, down) = (Arc::new(LinkPacer::new(rate)), Arc::new(LinkPacer::new(down)));
-        let hub = Arc::new(SwarmHub::new(vault.clone(), up, node.metrics.clone()));
+        let hub = Arc::new(SwarmRegistry::new(vault.clone(), up, node.metrics.clone()));
         let (stop, signal) = StopHandle::new();
         let socket = Arc::new(socket);
         let carrier = Arc::new(DatagramCarrier(socket.clone()));
@@ -216,7 +216,7 @@
 
 async fn serve_peers(
     node: Arc<NodeContext>,
-    hub: Arc<SwarmHub>,
+    hub: Arc<SwarmRegistry>,
     listener: tokio::net::TcpListener,
 ) {
     let host: Arc<dyn SwarmHost> = hub;
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -13,19 +13,19 @@
     datagram::{Datagram, MOST_DATAGRAM},
     notices::{NOTICE_PAUSE, NoticeBody, NoticeWriter},
 };
-use crate::{agent::hub::SwarmHub, node::service::SwarmHost};
+use crate::{agent::registry::SwarmRegistry, node::service::SwarmHost};
 
 /// The notices of one agent.
 struct AgentNotices {
     state: Arc<AgentState>,
-    hub: Arc<SwarmHub>,
+    hub: Arc<SwarmRegistry>,
     socket: Arc<UdpSocket>,
     writer: NoticeWriter,
     relays: NearRelays,
 }
 
 /// Sends and hears an agent's notices for ever.
-pub(super) async fn run(state: Arc<AgentState>, hub: Arc<SwarmHub>, socket: Arc<UdpSocket>) {
+pub(super) async fn run(state: Arc<AgentState>, hub: Arc<SwarmRegistry>, socket: Arc<UdpSocket>) {
     let node = &state.settings.node;
     let domain = DomainKey::from(&node.domain);
     let writer = NoticeWriter::new(node.control, PeerKind::Agent, domain);
--- a/crates/daemon/src/direct/datagram.rs
+++ b/crates/daemon/src/direct/datagram.rs
@@ -13,7 +13,7 @@
 use super::notice_codec::{
     address_bytes, address_of, decode, decode_message, encode, encode_message,
 };
-use crate::agent::notes::{LostCall, NoteCarrier};
+use crate::agent::notes::{NoteSender, UndeliveredCallback};
 
 /// First byte of a bundle; no message of protobuf begins with it, so that a notice needs no mark.
 const BUNDLE_MARK: u8 = 0x01;
@@ -153,8 +153,8 @@
 #[derive(Debug)]
 pub struct DatagramCarrier(pub Arc<UdpSocket>);
 
-impl NoteCarrier for DatagramCarrier {
-    fn send(&self, to: SocketAddr, notes: wire::SwarmNotes, _lost: LostCall) {
+impl NoteSender for DatagramCarrier {
+    fn send(&self, to: SocketAddr, notes: wire::SwarmNotes, _lost: UndeliveredCallback) {
         // One that cannot be sent is as good as lost, which the protocol bears.
         let _ = self.0.try_send_to(&Datagram::Notes(notes).encode(), to);
     }
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -24,10 +24,10 @@
     weights::{PieceReader, burst_manifest, encode_pieces, piece_name, pieces_from_peer},
 };
 use crate::agent::{
-    hub::SwarmHub,
-    notes::NoteCarrier,
-    swarm::{self, DriverInput, SwarmHandle, SwarmTools},
-    vault::ChunkVault,
+    chunk_cache::ChunkCache,
+    notes::NoteSender,
+    registry::SwarmRegistry,
+    swarm::{self, DriverInput, SwarmContext, SwarmHandle},
 };
 
 /// Pieces looked at before a stage counts as one of another version.
@@ -75,18 +75,18 @@
 #[derive(Debug, Clone)]
 pub struct TransferLinks {
     /// Pieces that are here.
-    pub vault: Arc<ChunkVault>,
+    pub vault: Arc<ChunkCache>,
     /// This machine's link inwards.
     pub down: Arc<LinkPacer>,
     /// Carries notes to other boxes.
-    pub carrier: Arc<dyn NoteCarrier>,
+    pub carrier: Arc<dyn NoteSender>,
 }
 
 /// Begins transfers, and keeps those that others may still need.
 pub struct TransferDesk {
     state: Arc<AgentState>,
     outside: AgentOutside,
-    hub: Arc<SwarmHub>,
+    hub: Arc<SwarmRegistry>,
     links: TransferLinks,
     kept: Vec<Digest>,
     /// Who was last told to take part.
@@ -98,7 +98,7 @@
     pub(super) fn new(
         state: Arc<AgentState>,
         outside: AgentOutside,
-        hub: Arc<SwarmHub>,
+        hub: Arc<SwarmRegistry>,
         links: TransferLinks,
     ) -> Self {
         Self { state, outside, hub, links, kept: Vec::new(), told_seats: Vec::new() }
@@ -112,7 +112,7 @@
             return;
         }
         for swarm in self.hub.all() {
-            swarm.tell(DriverInput::Seats(seats.clone()));
+            swarm.try_send(DriverInput::Peers(seats.clone()));
         }
         self.told_seats = seats;
     }
@@ -170,10 +170,10 @@
             false => self.survey(&pieces, &manifest).await,
         };
         self.hub.all().iter().for_each(|swarm| {
-            swarm.tell(DriverInput::Event(SwarmEvent::Superseded));
+            swarm.try_send(DriverInput::Event(SwarmEvent::Superseded));
         });
         let swarm = self.start_swarm(&pieces, &manifest, origin);
-        swarm.tell(DriverInput::Seats(seats::seats(&self.state)));
+        swarm.try_send(DriverInput::Peers(seats::seats(&self.state)));
         self.hub.add(swarm.clone());
         self.keep(manifest.digest());
         let since = self.state.node.now();
@@ -194,11 +194,11 @@
         manifest: &Arc<Manifest>,
         origin: &OriginPlan,
     ) -> SwarmHandle {
-        let tools = SwarmTools {
+        let tools = SwarmContext {
             node: self.state.node.clone(),
-            vault: self.links.vault.clone(),
-            down: self.links.down.clone(),
-            carrier: self.links.carrier.clone(),
+            chunk_cache: self.links.vault.clone(),
+            downlink: self.links.down.clone(),
+            note_sender: self.links.carrier.clone(),
             origin: Some(Arc::new(self.reader(pieces, origin.address))),
             store: None,
         };
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -26,13 +26,13 @@
     Refuses,
     BreaksBeforeHead,
     BreaksAfterHead,
-    EndsWithoutEnd,
-    LosesAFrame,
-    RepeatsAFrame,
-    AnswersAnother,
-    SendsTooLittle,
-    EndpointBroke,
-    EndsTwice,
+    MissingEnd,
+    DropsFrame,
+    RepeatsFrame,
+    WrongRequestId,
+    ShortBody,
+    EndpointFailed,
+    DuplicateEnd,
 }
 
 struct ScriptedAgent(AgentFault);
@@ -57,23 +57,23 @@
     if fault == AgentFault::Refuses {
         return vec![Ok(frame("mine", Part::Refused(refused)))];
     }
-    let id = if fault == AgentFault::AnswersAnother { "other" } else { "mine" };
+    let id = if fault == AgentFault::WrongRequestId { "other" } else { "mine" };
     let mut all = vec![
         frame("mine", head),
         frame(id, data("one ")),
         frame("mine", data("two")),
         frame("mine", end(Verdict::Ran, 7, "")),
     ];
-    let broken = || Err(Status::unavailable("it broke off"));
+    let connection_lost = || Err(Status::unavailable("it broke off"));
     match fault {
-        AgentFault::BreaksBeforeHead => return vec![broken()],
-        AgentFault::BreaksAfterHead => return vec![Ok(all.remove(0)), broken()],
-        AgentFault::EndsWithoutEnd => drop(all.pop()),
-        AgentFault::LosesAFrame => drop(all.remove(1)),
-        AgentFault::RepeatsAFrame => all.insert(1, all[1].clone()),
-        AgentFault::SendsTooLittle => all[3].part = Some(end(Verdict::Ran, 8, "")),
-        AgentFault::EndpointBroke => all[3].part = Some(end(Verdict::MayHaveRun, 7, "broke")),
-        AgentFault::EndsTwice => all.push(all[3].clone()),
+        AgentFault::BreaksBeforeHead => return vec![connection_lost()],
+        AgentFault::BreaksAfterHead => return vec![Ok(all.remove(0)), connection_lost()],
+        AgentFault::MissingEnd => drop(all.pop()),
+        AgentFault::DropsFrame => drop(all.remove(1)),
+        AgentFault::RepeatsFrame => all.insert(1, all[1].clone()),
+        AgentFault::ShortBody => all[3].part = Some(end(Verdict::Ran, 8, "")),
+        AgentFault::EndpointFailed => all[3].part = Some(end(Verdict::MayHaveRun, 7, "broke")),
+        AgentFault::DuplicateEnd => all.push(all[3].clone()),
         _ => {}
     }
     all.into_iter().map(Ok).collect()
@@ -119,29 +119,29 @@
 
 #[rstest]
 #[case(AgentFault::None, RunVerdict::Ran)]
-#[case(AgentFault::EndsTwice, RunVerdict::Ran)]
+#[case(AgentFault::DuplicateEnd, RunVerdict::Ran)]
 #[case(AgentFault::Refuses, RunVerdict::NotRun)]
 #[case(AgentFault::BreaksBeforeHead, RunVerdict::MayHaveRun)]
 #[case(AgentFault::BreaksAfterHead, RunVerdict::MayHaveRun)]
-#[case(AgentFault::EndsWithoutEnd, RunVerdict::MayHaveRun)]
-#[case(AgentFault::LosesAFrame, RunVerdict::MayHaveRun)]
-#[case(AgentFault::RepeatsAFrame, RunVerdict::MayHaveRun)]
-#[case(AgentFault::AnswersAnother, RunVerdict::MayHaveRun)]
-#[case(AgentFault::SendsTooLittle, RunVerdict::MayHaveRun)]
-#[case(AgentFault::EndpointBroke, RunVerdict::MayHaveRun)]
+#[case(AgentFault::MissingEnd, RunVerdict::MayHaveRun)]
+#[case(AgentFault::DropsFrame, RunVerdict::MayHaveRun)]
+#[case(AgentFault::RepeatsFrame, RunVerdict::MayHaveRun)]
+#[case(AgentFault::WrongRequestId, RunVerdict::MayHaveRun)]
+#[case(AgentFault::ShortBody, RunVerdict::MayHaveRun)]
+#[case(AgentFault::EndpointFailed, RunVerdict::MayHaveRun)]
 #[tokio::test]
-async fn only_a_whole_answer_of_ones_own_is_passed_on(
+async fn only_a_complete_answer_with_the_right_request_id_is_returned(
     #[case] fault: AgentFault,
     #[case] verdict: RunVerdict,
 ) {
-    let (came_to, text) = attempt(start(fault).await).await;
-    assert_eq!(came_to, verdict);
-    let whole = (verdict == RunVerdict::Ran).then(|| "one two".to_owned());
-    assert_eq!(text, whole);
+    let (actual, text) = attempt(start(fault).await).await;
+    assert_eq!(actual, verdict);
+    let expected = (verdict == RunVerdict::Ran).then(|| "one two".to_owned());
+    assert_eq!(text, expected);
 }
 
 #[tokio::test]
-async fn an_agent_that_is_not_there_did_not_run_it() {
+async fn an_unreachable_agent_counts_as_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
