--- a/crates/daemon/src/agent/admission.rs
+++ b/crates/daemon/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! The last gate before an endpoint: what may run here now.
+//! Admission control in front of an endpoint.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -10,25 +10,25 @@
 use headlatch_types::{fleet::SetKey, settings::EndpointSettings};
 use headlatch_wire::{RefusalCause, ServeRequest};
 
-/// What a desk knows, under one lock, so that closing the gate and counting requests in progress
-/// cannot pass each other.
+/// State of admission control. One lock covers the gate and the count of requests in progress, so
+/// that no request can be admitted between closing the gate and reading the count.
 #[derive(Debug, Default)]
 pub struct AdmissionState {
-    /// The gate; not used for a plain service.
+    /// Gate that determines which weight set may be served; unused for a plain service.
     pub gate: WeightGate,
-    /// Names under which callers may ask for what serves here.
+    /// Model names under which callers may request the served weights.
     pub names: Vec<String>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: u32,
-    /// Whether this box is about to leave.
+    /// Whether this box is leaving; new requests are then refused.
     pub leaving: bool,
-    /// Whether the endpoint answers.
+    /// Whether the last health check of the endpoint succeeded.
     pub healthy: bool,
-    /// Keys of requests that may run once.
+    /// Idempotency keys of requests that may run only once.
     pub keys: IdempotencyKeys,
 }
 
-/// Decides for each request whether it may run at this endpoint.
+/// Decides whether a request may run at this endpoint.
 #[derive(Debug)]
 pub struct EndpointAdmission {
     settings: EndpointSettings,
@@ -36,32 +36,32 @@
     state: Mutex<AdmissionState>,
 }
 
-/// Leave to run one request; it counts as in progress until this is dropped.
+/// Permit to run one request, which counts as in progress until the permit is dropped.
 #[derive(Debug)]
 pub struct RunPermit<'a> {
     admission: &'a EndpointAdmission,
-    /// The weights that will answer; none for a plain service.
+    /// Weight set that serves the request; `None` for a plain service.
     pub set: Option<SetKey>,
     key: Option<String>,
 }
 
 impl EndpointAdmission {
-    /// A desk for the endpoint of box `box_id`.
+    /// Admission control for the endpoint of box `box_id`.
     pub fn new(settings: EndpointSettings, box_id: String) -> Self {
         Self { settings, box_id, state: Mutex::default() }
     }
 
-    /// What the desk knows.
+    /// Locks the admission state.
     pub fn lock(&self) -> MutexGuard<'_, AdmissionState> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The endpoint.
+    /// Settings of the endpoint.
     pub fn endpoint(&self) -> &EndpointSettings {
         &self.settings
     }
 
-    /// Lets a request run, or says why it certainly does not.
+    /// Admits a request, or returns the cause of refusal; a refused request certainly did not run.
     pub fn admit(
         &self,
         now: Moment,
@@ -113,7 +113,7 @@
 }
 
 impl RunPermit<'_> {
-    /// The request certainly did not run after all: its key may be used again.
+    /// Ends the permit of a request that certainly did not run, so that its key may be used again.
     pub fn release_key(mut self) {
         if let Some(key) = self.key.take() {
             self.admission.lock().keys.release(&key);
--- a/crates/daemon/src/agent/chunk_cache.rs
+++ b/crates/daemon/src/agent/chunk_cache.rs
@@ -1,4 +1,4 @@
-//! Verified chunks in bounded memory, by digest.
+//! A bounded in-memory cache of verified chunks, keyed by digest.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use headlatch_types::{ChunkIndex, Digest, Manifest, digest::DigestKind, quantity::ByteSize};
 
-/// There is no room for a chunk.
+/// A chunk does not fit in the memory limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("chunk_memory is full; raise it in the settings to hold a whole version")]
 pub struct ChunkCacheFull;
@@ -19,7 +19,7 @@
     used: u64,
 }
 
-/// Chunks that this box holds; each has been verified before it came in.
+/// Chunks held by this box; each is verified against its digest before it is stored.
 #[derive(Debug)]
 pub struct ChunkCache {
     state: Mutex<ChunkCacheState>,
@@ -27,7 +27,7 @@
 }
 
 impl ChunkCache {
-    /// An empty vault for `limit` bytes.
+    /// An empty cache that holds at most `limit`.
     pub fn new(limit: ByteSize) -> Self {
         Self { state: Mutex::default(), limit }
     }
@@ -36,17 +36,17 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Most bytes it holds.
+    /// Memory limit.
     pub fn limit(&self) -> ByteSize {
         self.limit
     }
 
-    /// Bytes it holds.
+    /// Total size of the held chunks.
     pub fn used(&self) -> ByteSize {
         ByteSize::from_bytes(self.lock().used)
     }
 
-    /// Takes a chunk in if its digest fits; `None` if it does not.
+    /// Stores a chunk if `data` matches `digest`; `None` if it does not match.
     pub fn put(
         &self,
         kind: DigestKind,
@@ -68,12 +68,12 @@
         Some(Ok(()))
     }
 
-    /// A chunk, if it is here.
+    /// The chunk with this digest, if held.
     pub fn get(&self, digest: &Digest) -> Option<Bytes> {
         self.lock().chunks.get(digest).cloned()
     }
 
-    /// The chunks of a manifest that are here.
+    /// Indexes of the manifest's chunks that are held.
     pub fn held(&self, manifest: &Manifest) -> Vec<ChunkIndex> {
         let state = self.lock();
         let chunks = manifest.chunks().iter().zip(0u32..);
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Drops every chunk that no manifest in `wanted` has.
+    /// Drops every chunk that no manifest in `wanted` lists.
     pub fn retain<'a>(&self, wanted: impl Iterator<Item = &'a Manifest>) {
         let digests: HashSet<Digest> =
             wanted.flat_map(|one| one.chunks()).map(|place| place.digest).collect();
--- a/crates/daemon/src/agent/engine/http.rs
+++ b/crates/daemon/src/agent/engine/http.rs
@@ -1,4 +1,4 @@
-//! An engine that takes its orders over HTTP.
+//! Controls an engine over HTTP.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,13 +15,13 @@
 
 use super::{EngineControl, EngineError, EngineFuture, LoadOrder, OrderOutcome};
 
-/// Time for a call that does not wait for a load.
+/// Timeout of a call; the engine answers a load order before the load is done.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer.
+/// Maximum size of an answer's body.
 const MAX_ANSWER: ByteSize = ByteSize::from_bytes(64 << 10);
 
-/// An engine's orders and status, at one address.
+/// Client of an engine's order and status API.
 #[derive(Debug)]
 pub struct HttpEngine {
     address: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl HttpEngine {
-    /// The engine at `address`.
+    /// A client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, caller: HttpCaller::pooled() }
     }
@@ -61,7 +61,7 @@
         Box::pin(async move {
             let (status, body) = self.call(Method::GET, "/status", Bytes::new()).await?;
             if status != StatusCode::OK {
-                return Err(EngineError(format!("status gave {status}")));
+                return Err(EngineError(format!("GET /status returned {status}")));
             }
             let answer: StatusAnswer =
                 serde_json::from_slice(&body).map_err(|error| EngineError(error.to_string()))?;
@@ -81,7 +81,7 @@
             match self.call(Method::POST, "/orders/load", body).await? {
                 (status, _) if status.is_success() => Ok(OrderOutcome::Accepted),
                 (StatusCode::CONFLICT, _) => Ok(OrderOutcome::Fenced),
-                (status, _) => Err(EngineError(format!("an order gave {status}"))),
+                (status, _) => Err(EngineError(format!("POST /orders/load returned {status}"))),
             }
         })
     }
--- a/crates/daemon/src/agent/engine/mod.rs
+++ b/crates/daemon/src/agent/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to the model engine on this box.
+//! Control of the model engine on this box.
 
 mod http;
 
@@ -9,38 +9,38 @@
 
 pub use http::HttpEngine;
 
-/// An engine that did not answer as it should.
+/// A failed call to the engine.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the engine does not answer as it should: {0}")]
+#[error("engine call failed: {0}")]
 pub struct EngineError(pub String);
 
-/// What became of an order.
+/// Outcome of a load order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has had a later one.
+    /// The engine has seen a later fencing token and rejected the order.
     Fenced,
 }
 
 /// An order to load a set of weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadOrder {
-    /// Its token, higher than any before it.
+    /// Fencing token, higher than that of any earlier order.
     pub token: FencingToken,
-    /// The set.
+    /// The weight set to load.
     pub set: SetKey,
     /// URLs of the set's files, in the order of their manifests.
     pub files: Vec<String>,
 }
 
-/// A future that a trait object returns.
+/// Boxed future, so that `EngineControl` can be used as a trait object.
 pub type EngineFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, EngineError>> + Send + 'a>>;
 
-/// Gives orders to an engine and hears what it says of itself.
+/// Sends orders to an engine and reads its state.
 pub trait EngineControl: Send + Sync + std::fmt::Debug {
-    /// What the engine says of itself.
+    /// Reads the engine's state.
     fn report(&self) -> EngineFuture<'_, EngineReport>;
-    /// Orders it to load a set in place of what it has.
+    /// Orders the engine to load a weight set in place of the current one.
     fn load(&self, order: LoadOrder) -> EngineFuture<'_, OrderOutcome>;
 }
--- a/crates/daemon/src/agent/fetch.rs
+++ b/crates/daemon/src/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches of single chunks and of manifests.
+//! Fetches chunks and manifests from the origin, the store and peers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,28 +22,28 @@
 
 use crate::node::channels::ChannelCache;
 
-/// Time after which a source that sends nothing is given up.
+/// Time without data after which a fetch from the origin or the store fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Characters of a path that need no escape.
+/// Path characters that are not percent-encoded.
 const UNESCAPED_PATH: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'.').remove(b'-').remove(b'_').remove(b'~');
 
-/// Escapes a file's path for a URL.
+/// Percent-encodes a file's path for a URL.
 pub fn escape_path(path: &str) -> String {
     utf8_percent_encode(path, UNESCAPED_PATH).to_string()
 }
 
-/// An origin or store, with the folder of one version.
+/// The folder of one version at the origin or the store.
 #[derive(Debug, Clone)]
 pub struct HttpSource {
-    /// Its base URL.
+    /// Base URL of the origin or the store.
     pub url: ServiceUrl,
-    /// The version's folder.
+    /// Path of the version's folder below the base URL.
     pub location: String,
 }
 
-/// Reads from origin and store over this box's link.
+/// Reads from the origin and the store over HTTP, paced by this box's downlink.
 #[derive(Debug, Clone)]
 pub struct HttpFetcher {
     caller: HttpCaller,
@@ -51,17 +51,17 @@
 }
 
 impl HttpFetcher {
-    /// A fetcher whose bytes come in over `down`.
+    /// A fetcher that paces its reads by `downlink`.
     pub fn new(downlink: Arc<LinkPacer>) -> Self {
         Self { caller: HttpCaller::pooled(), downlink }
     }
 
-    /// The link that its bytes come in over.
+    /// Rate limit of the downlink.
     pub fn downlink(&self) -> Arc<LinkPacer> {
         self.downlink.clone()
     }
 
-    /// Reads the bytes of one chunk; they are not verified yet.
+    /// Reads the bytes of one chunk without verifying them.
     pub async fn chunk(
         &self,
         source: &HttpSource,
@@ -74,7 +74,7 @@
         self.read(source, &file.path, Some(&range), place.length as usize).await
     }
 
-    /// Reads a version's manifest and checks its digest.
+    /// Reads a version's manifest and verifies its digest.
     pub async fn manifest(
         &self,
         source: &HttpSource,
@@ -82,7 +82,7 @@
     ) -> Result<(Bytes, Manifest), FetchFailure> {
         let text = self.read(source, MANIFEST_FILE, None, MAX_MANIFEST_BYTES).await?;
         let manifest = Manifest::verify(&text, digest).map_err(|error| {
-            log::warn!("burst: the manifest at {} is wrong, {error}", source.location);
+            log::warn!("burst: the manifest at {} failed verification, {error}", source.location);
             FetchFailure::Corrupt
         })?;
         Ok((text, manifest))
@@ -121,7 +121,7 @@
     }
 }
 
-/// The next frame of a body, unless nothing comes for long.
+/// The next frame of a body; fails if none arrives within `STALL_TIMEOUT`.
 async fn next_frame(
     body: &mut Body,
 ) -> Result<Option<Result<Frame<Bytes>, BoxError>>, FetchFailure> {
@@ -132,8 +132,8 @@
 fn check_status(status: StatusCode, ranged: bool) -> Result<(), FetchFailure> {
     match status {
         StatusCode::PARTIAL_CONTENT if ranged => Ok(()),
-        // A server that ignores ranges sends the whole file, which is right for small files only;
-        // a longer body is cut off by the limit and counts as corrupt.
+        // A server that ignores ranges sends the whole file. That is correct for a file of a single
+        // chunk; a longer body exceeds the size limit and counts as corrupt.
         StatusCode::OK => Ok(()),
         StatusCode::NOT_FOUND | StatusCode::RANGE_NOT_SATISFIABLE => Err(FetchFailure::Absent),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Err(FetchFailure::Busy),
@@ -141,9 +141,9 @@
     }
 }
 
-/// Reads single chunks of one version from somewhere outside.
+/// Reads chunks of one version from a source outside the fleet.
 pub trait ChunkReader: Send + Sync + std::fmt::Debug {
-    /// The bytes of a chunk; they are not verified yet.
+    /// Reads the bytes of a chunk without verifying them.
     fn read<'a>(
         &'a self,
         manifest: &'a Manifest,
@@ -151,12 +151,12 @@
     ) -> OutsideFuture<'a, Result<Bytes, FetchFailure>>;
 }
 
-/// Reads chunks as ranges of files below a folder.
+/// Reads chunks as HTTP byte ranges of the files in a folder.
 #[derive(Debug)]
 pub struct HttpChunkReader {
-    /// Reads the ranges.
+    /// Sends the range requests.
     pub fetcher: HttpFetcher,
-    /// The folder.
+    /// The folder that holds the files.
     pub source: HttpSource,
 }
 
@@ -173,25 +173,25 @@
     }
 }
 
-/// What a fetch from a peer needs to know.
+/// Parameters of a chunk fetch from a peer.
 #[derive(Debug)]
 pub struct PeerFetchRequest {
-    /// The peer's address.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// The manifest.
+    /// Digest of the manifest.
     pub manifest: Digest,
-    /// The chunk.
+    /// Index of the chunk.
     pub chunk: ChunkIndex,
-    /// Its length in bytes.
+    /// Length of the chunk in bytes.
     pub length: usize,
-    /// This box.
+    /// Identifier of this box.
     pub box_id: String,
-    /// Chunks that this box holds.
+    /// Number of chunks this box holds.
     pub held: u32,
 }
 
-/// Asks a peer for a chunk and reads it; `turns` is told when its turn has come, and the answer to
-/// that comes over `steps`.
+/// Requests a chunk from a peer and reads it. Each grant of the peer is sent to `grants`; the
+/// answers to grants are received from `steps` and passed on to the peer.
 pub async fn fetch_from_peer(
     channels: &ChannelCache,
     fetch: PeerFetchRequest,
@@ -215,7 +215,7 @@
         let piece = pieces.message().await.map_err(|status| failure_from_code(status.code()))?;
         let Some(piece) = piece else { break };
         if piece.turn {
-            // Nobody waits for it any more once the fetch is given up.
+            // Sending fails if the fetch has been cancelled, and the grant is then irrelevant.
             let _ = grants.send(()).await;
             continue;
         }
@@ -248,7 +248,7 @@
     }
 }
 
-/// Asks a peer for a manifest and checks its digest.
+/// Requests a manifest from a peer and verifies its digest.
 pub async fn manifest_from_peer(
     channels: &ChannelCache,
     address: SocketAddr,
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -1,4 +1,4 @@
-//! Brings in the weights that this box is to serve, and has the engine load them.
+//! Transfers the weights that the plan assigns to this box and orders the engine to load them.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -35,25 +35,27 @@
 };
 use crate::node::NodeContext;
 
-/// How often the loader looks at the whole picture.
+/// Interval at which the loader compares the plan with the state of this box.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often the engine is asked for its state.
+/// Interval at which the engine's state is polled.
 const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time in which a new agent only listens, so that it does not act on a list of nobody.
+/// Delay before a new agent acts on the plan, so that it does not place models with a membership
+/// list that is still empty.
 const STARTUP_DELAY: Duration = Duration::from_secs(2);
 
-/// Peers asked for a manifest before the origin is.
+/// Number of peers asked for a manifest before the origin.
 const MANIFEST_PEERS: usize = 3;
 
-/// Boxes that read a manifest from the origin at once; the others ask them first.
+/// Number of boxes that read a manifest from the origin without waiting; the others ask these
+/// first.
 const MANIFEST_ORIGIN_READERS: usize = 2;
 
-/// How long a box asks others for a manifest before it reads the origin itself.
+/// Time after which a box that got no manifest from its peers reads the origin.
 const MANIFEST_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Everything an agent of an engine needs to bring in and load weights.
+/// Transfers weights and has the engine load them.
 pub struct WeightLoader {
     pub(super) settings: AgentSettings,
     pub(super) node: Arc<NodeContext>,
@@ -62,23 +64,23 @@
     pub(super) chunk_cache: Arc<ChunkCache>,
     pub(super) engine: Arc<dyn EngineControl>,
     pub(super) fetcher: HttpFetcher,
-    /// Where the engine reads files from.
+    /// Base URL from which the engine reads weight files.
     pub(super) weights_url: String,
     pub(super) state: LoaderState,
 }
 
-/// What the loader remembers from look to look.
+/// State that the loader keeps between reconciliations.
 #[derive(Debug, Default)]
 pub struct LoaderState {
     next_engine_poll: Moment,
     report: Option<EngineReport>,
-    /// When the search for a manifest began.
+    /// Time of the first attempt to find each missing manifest.
     manifest_search_began: BTreeMap<Digest, Moment>,
     last_bytes: (u64, Moment),
     rate: u64,
 }
 
-/// What this box is to run, in the picture of one look.
+/// The plan, membership and placement used by one reconciliation.
 struct LoadGoal {
     config: Arc<FleetConfig>,
     placement: Placement,
@@ -93,7 +95,7 @@
 }
 
 impl WeightLoader {
-    /// Runs until the stop.
+    /// Runs until the stop signal.
     pub async fn run(mut self, mut signal: StopSignal) {
         let mut ticks = self.node.timer.subscribe(RECONCILE_INTERVAL);
         let mut changes = self.node.watch_config();
@@ -149,14 +151,15 @@
             key: model.set_key(),
             parts: model.parts().iter().map(|part| part.manifest).collect(),
         });
-        // A box that is to run nothing goes on serving what it has until it is given something
-        // else: the others may not have taken over yet.
+        // A box without an assigned model keeps serving its current weights until it is assigned a
+        // model, because the other boxes may not serve these weights yet.
         if target.is_some() {
             self.admission.lock().gate.set_target(target);
         }
     }
 
-    /// Starts transfers that are missing, tells all who takes part, and ends those not wanted.
+    /// Starts missing transfers, updates the peers of all transfers, and ends those no longer in
+    /// the plan.
     async fn update_transfers(&mut self, now: Moment, goal: &LoadGoal) {
         let Some(model) = goal.model().cloned() else { return };
         let parts = model.parts();
@@ -177,7 +180,7 @@
         }
     }
 
-    /// The boxes whose sets have this manifest, with their addresses.
+    /// The boxes whose assigned weight sets include this manifest, with their addresses.
     fn peers(&self, goal: &LoadGoal, manifest: &Digest) -> Vec<(PeerLocation, SocketAddr)> {
         let participates = |id: &BoxId| {
             let placed =
@@ -201,7 +204,7 @@
         };
         if manifest.total() > self.chunk_cache.limit() {
             log::error!(
-                "burst: {} takes {}, more than chunk_memory; raise it in the settings",
+                "burst: {} needs {}, more than chunk_memory; raise chunk_memory in the settings",
                 part.location,
                 manifest.total()
             );
@@ -210,11 +213,12 @@
         if self.chunk_cache.used().bytes() + manifest.total().bytes()
             > self.chunk_cache.limit().bytes()
         {
-            // Both versions do not fit: the old one is loaded already and only others miss it.
+            // Both versions do not fit in memory. The engine has already loaded the old one, so
+            // dropping its chunks only takes them from peers.
             self.registry.retain(|_| false);
         }
         self.state.manifest_search_began.remove(&part.manifest);
-        log::info!("burst: bringing in {}, {}", part.location, manifest.total());
+        log::info!("burst: starting transfer of {}, {}", part.location, manifest.total());
         let settings = self.swarm_settings(&manifest, goal);
         let context = self.context(part);
         let me = peer_location(self.node.table().own());
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Origin and store of a part, where they are.
+    /// Origin and store of a part, if configured.
     fn sources(&self, part: &WeightPart) -> [Option<HttpSource>; 2] {
         let location = &part.location;
         [&self.settings.origin, &self.settings.store]
@@ -288,7 +292,7 @@
             match self.fetcher.manifest(&source, part.manifest).await {
                 Ok(found) => return Some(found),
                 Err(failure) => log::warn!(
-                    "burst: no manifest of {} from {}, {failure:?}",
+                    "burst: failed to read the manifest of {} from {}, {failure:?}",
                     part.location,
                     source.url
                 ),
@@ -323,7 +327,8 @@
         }
     }
 
-    /// Has the engine load the wanted set once it is whole, its turn has come, and nothing runs.
+    /// Orders the engine to load the target set once all its chunks are verified, the rollover
+    /// allows this replica to switch, and no request is in progress.
     async fn switch_weights(&mut self, now: Moment, goal: &LoadGoal) {
         let (Some(model), Some(report)) = (goal.model(), self.state.report) else { return };
         let may_switch_weights = self.may_switch_now(now, goal, model);
@@ -336,7 +341,7 @@
                 if !may_switch_weights {
                     return;
                 }
-                log::info!("gate: closed to change to {}@{}", model.name, model.version);
+                log::info!("gate: closed to switch to {}@{}", model.name, model.version);
                 admission.gate.stop_serving();
                 self.publish_serving(None);
             }
@@ -348,7 +353,11 @@
             order
         };
         let Some((set, token)) = order else { return };
-        log::info!("gate: ordering {}@{} with token {token}", model.name, model.version);
+        log::info!(
+            "gate: ordering the engine to load {}@{} with token {token}",
+            model.name,
+            model.version
+        );
         let order = LoadOrder { token, set, files: self.file_urls(model) };
         match self.engine.load(order).await {
             Ok(OrderOutcome::Accepted) => {}
@@ -356,8 +365,8 @@
                 log::warn!("gate: the engine has had a later order than token {token}");
                 self.admission.lock().gate.cancel_order();
             }
-            // Whether it came will show in the engine's report.
-            Err(error) => log::warn!("gate: {error}"),
+            // The next engine report shows whether the order arrived.
+            Err(error) => log::warn!("gate: load order not confirmed, {error}"),
         }
     }
 
@@ -397,7 +406,7 @@
         may_switch(own.rank, replicas, model.kept_in(domain).min(replicas - 1), &others)
     }
 
-    /// Lets others know at once what serves here.
+    /// Publishes the served weight set without waiting for the next gossip round.
     fn publish_serving(&self, serving: Option<SetKey>) {
         self.node.update_record(true, |record| {
             if let Some(state) = record.endpoint.as_mut() {
@@ -406,7 +415,7 @@
         });
     }
 
-    /// Lets others know how far this box is.
+    /// Publishes transfer progress and load in this node's record.
     fn publish_progress(&mut self, now: Moment, goal: &LoadGoal) {
         let fetching: Option<SetKey> = goal.model().map(ModelPlan::set_key);
         let swarms = self.registry.all();
@@ -446,7 +455,7 @@
     }
 }
 
-/// The place of a node in a transfer.
+/// Key, failure domain and region of a node as a transfer peer.
 fn peer_location(record: &NodeRecord) -> PeerLocation {
     let region = headlatch_types::digest::key_of(record.region.as_str().as_bytes());
     PeerLocation { key: peer_key(&record.id), domain: record.domain.key(), region }
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: one small process beside each endpoint.
+//! The agent: a sidecar process that runs next to each endpoint.
 
 pub mod admission;
 pub mod chunk_cache;
@@ -47,10 +47,11 @@
     serve::EndpointService,
 };
 
-/// Time after the word that a box leaves in which requests already on their way still come.
+/// Time for which a leaving agent keeps listening, because entries that have not yet learned of the
+/// leave may still have requests in flight.
 const LEAVE_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
-/// How often a stop looks whether requests are still in progress.
+/// Interval at which a draining agent checks whether requests are still in progress.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Binds one port for TCP and UDP.
@@ -64,14 +65,14 @@
     Ok((listener, socket))
 }
 
-/// An agent that runs.
+/// A running agent.
 #[derive(Debug)]
 pub struct RunningAgent {
-    /// What its parts share.
+    /// State shared by the agent's components.
     pub node: Arc<NodeContext>,
-    /// What runs at its endpoint.
+    /// Admission control of the agent's endpoint.
     pub admission: Arc<EndpointAdmission>,
-    /// Where it answers health checks.
+    /// Address of the admin listener, which answers health checks.
     pub admin: SocketAddr,
     stop: StopHandle,
     tasks: Vec<tokio::task::JoinHandle<()>>,
@@ -101,11 +102,12 @@
         Ok(Self { node: parts.node, admission: parts.admission, admin, stop, tasks })
     }
 
-    /// Leaves: takes no new work, finishes what is in progress, and stops.
+    /// Leaves the fleet: refuses new requests, waits for requests in progress, and stops.
     pub async fn leave(self) {
         log::info!("agent: leaving");
         self.node.update_record(true, |record| record.leaving = true);
-        // Entries need a moment to hear of it; what they send until then is refused as not run.
+        // Entries learn of the leave with a delay; requests they send until then are refused with
+        // the verdict "not run".
         self.admission.lock().leaving = true;
         tokio::time::sleep(LEAVE_GRACE_PERIOD).await;
         let drained = async {
@@ -114,23 +116,23 @@
             }
         };
         if tokio::time::timeout(self.node.settings.drain, drained).await.is_err() {
-            log::error!("agent: requests were still in progress at the end of the drain");
+            log::error!("agent: requests were still in progress when the drain timed out");
         }
         self.stop.stop();
         for task in self.tasks {
-            // Its connections may outlast it; what matters has ended above.
+            // Open connections may keep a task alive; the drain above already waited for requests.
             let _ = tokio::time::timeout(Duration::from_secs(1), task).await;
         }
     }
 
-    /// Ends at once, as if the box had died.
+    /// Stops at once without draining, as in a crash of the box.
     pub fn kill(self) {
         self.stop.stop();
         self.tasks.iter().for_each(|task| task.abort());
     }
 }
 
-/// The parts of an agent before they run.
+/// The components of an agent before they are spawned.
 struct AgentParts {
     settings: AgentSettings,
     node: Arc<NodeContext>,
--- a/crates/daemon/src/agent/notes.rs
+++ b/crates/daemon/src/agent/notes.rs
@@ -1,4 +1,4 @@
-//! How the notes of a transfer reach other boxes.
+//! Sends the notes of a transfer to other boxes.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,16 +6,16 @@
 
 use crate::node::NodeContext;
 
-/// What is done if a box is known not to have had the notes.
+/// Called if the notes are known not to have been delivered.
 pub type UndeliveredCallback = Box<dyn FnOnce() + Send>;
 
-/// Carries notes to other boxes; notes may be lost, which the protocol bears.
+/// Sends notes to other boxes. Delivery is best effort; the protocol tolerates lost notes.
 pub trait NoteSender: Send + Sync + std::fmt::Debug {
-    /// Sends `notes`; `lost` is called if it is known that they did not arrive.
+    /// Sends `notes`; `lost` is called if they are known not to have been delivered.
     fn send(&self, to: SocketAddr, notes: SwarmNotes, lost: UndeliveredCallback);
 }
 
-/// Carries notes by gRPC, one call each.
+/// Sends notes by gRPC, one call per message.
 #[derive(Debug)]
 pub struct GrpcNoteSender(pub Arc<NodeContext>);
 
--- a/crates/daemon/src/agent/registry.rs
+++ b/crates/daemon/src/agent/registry.rs
@@ -1,4 +1,4 @@
-//! The transfers of one box, and its part in those of others.
+//! The transfers that run on this box, and chunk serving to peers.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -25,11 +25,11 @@
     },
 };
 
-/// Notes about transfers that have not begun here which are kept at most.
+/// Maximum number of buffered notes about transfers that have not started on this box.
 const MAX_EARLY_NOTES: usize = 256;
 
-/// Bytes of a chunk that are handed to the link at once: what is handed over queues there, and
-/// notes and turns wait behind it.
+/// Size of the pieces in which a chunk is written to the link. Written bytes queue there, and notes
+/// and grants wait behind them, so pieces are small.
 const PIECE_BYTES: usize = 8 << 10;
 
 /// The transfers that run on this box.
@@ -43,7 +43,7 @@
 }
 
 impl SwarmRegistry {
-    /// A hub without transfers, whose chunks go out over `up`.
+    /// An empty registry that paces outgoing chunks by `uplink`.
     pub fn new(chunk_cache: Arc<ChunkCache>, uplink: Arc<LinkPacer>, metrics: NodeMetrics) -> Self {
         Self {
             swarms: Mutex::default(),
@@ -58,12 +58,12 @@
         self.swarms.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A transfer, if it runs here.
+    /// The transfer of `manifest`, if it runs on this box.
     pub fn get(&self, manifest: &Digest) -> Option<SwarmHandle> {
         self.lock().get(manifest).cloned()
     }
 
-    /// Adds a transfer, and hands it what others have told of it already.
+    /// Adds a transfer and delivers the notes buffered for it.
     pub fn add(&self, handle: SwarmHandle) {
         let digest = handle.manifest.digest();
         self.lock().insert(digest, handle);
@@ -79,7 +79,8 @@
         });
     }
 
-    /// Keeps notes about a transfer that has not begun here: their senders will not repeat them.
+    /// Buffers notes about a transfer that has not started on this box, because senders do not
+    /// repeat them. The oldest notes are dropped when the buffer is full.
     fn buffer_early_notes(&self, notes: SwarmNotes) {
         let mut early_notes =
             self.early_notes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -89,7 +90,7 @@
         early_notes.push_back(notes);
     }
 
-    /// Ends every transfer but those in `wanted`, and drops chunks that none of them has.
+    /// Ends the transfers that `wanted` rejects, and drops chunks that no remaining transfer uses.
     pub fn retain(&self, wanted: impl Fn(&Digest) -> bool) {
         let mut swarms = self.lock();
         let before = swarms.len();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Every transfer.
+    /// All transfers.
     pub fn all(&self) -> Vec<SwarmHandle> {
         self.lock().values().cloned().collect()
     }
@@ -148,7 +149,7 @@
     }
 }
 
-/// Serves one fetch of a chunk.
+/// Serves one chunk request of a peer.
 struct ChunkServer {
     handles: HashMap<Digest, SwarmHandle>,
     chunk_cache: Arc<ChunkCache>,
@@ -156,7 +157,7 @@
     metrics: NodeMetrics,
 }
 
-/// Tells the driver that a box no longer wants what it asked for, however the stream ends.
+/// Cancels a peer's chunk request in the driver when its stream ends for any reason.
 struct RequestGuard {
     inputs: mpsc::Sender<DriverInput>,
     from: PeerKey,
@@ -168,7 +169,7 @@
         let event = SwarmEvent::RequestCancelled { from: self.from, chunk: self.chunk };
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            // The driver may have ended; then nobody needs to know.
+            // Sending fails if the driver has ended, and the event is then irrelevant.
             let _ = inputs.send(DriverInput::Event(event)).await;
         });
     }
@@ -190,11 +191,13 @@
             let input = DriverInput::ChunkRequested { from, chunk, held: request.held, session };
             inputs.send(input).await.map_err(|_| Status::not_found("the transfer has ended"))?;
             let _guard = RequestGuard { inputs: inputs.clone(), from, chunk };
-            // Held in the handle so that the driver lives as long as its sessions.
+            // Dropping the last handle aborts the driver, so it is held until the session ends.
             let _handle = handle;
             loop {
                 match next_event(&mut answers, &mut steps).await? {
-                    StreamEvent::Granted => yield ChunkPiece { turn: true, ..ChunkPiece::default() },
+                    StreamEvent::Granted => {
+                        yield ChunkPiece { turn: true, ..ChunkPiece::default() };
+                    }
                     StreamEvent::Step(Step::Take(_)) => break,
                     StreamEvent::Step(Step::Pass(_)) => {
                         send_event(&inputs, SwarmEvent::GrantDeferred { from, chunk }).await;
@@ -203,13 +206,13 @@
                         send_event(&inputs, SwarmEvent::GrantResumed { from, chunk }).await;
                     }
                     StreamEvent::Step(Step::Ask(_)) => {
-                        Err(Status::invalid_argument("asked twice"))?;
+                        Err(Status::invalid_argument("a stream may request only one chunk"))?;
                     }
                     StreamEvent::Closed => return,
                 }
             }
             let data = self.chunk_cache.get(&place.digest);
-            let mut rest = data.ok_or_else(|| Status::not_found("the chunk is gone"))?;
+            let mut rest = data.ok_or_else(|| Status::not_found("the chunk is no longer held"))?;
             while !rest.is_empty() {
                 let piece = rest.split_to(rest.len().min(PIECE_BYTES));
                 self.uplink.wait_until_free(piece.len()).await;
@@ -222,20 +225,22 @@
     fn find(&self, request: &FetchChunkRequest) -> Result<(SwarmHandle, PeerKey), Status> {
         let digest = manifest_digest(&request.manifest);
         let handle = digest.and_then(|digest| self.handles.get(&digest).cloned());
-        let handle = handle.ok_or_else(|| Status::not_found("no such transfer here"))?;
-        let id: BoxId =
-            request.box_id.parse().map_err(|_| Status::invalid_argument("box_id is no name"))?;
+        let handle = handle.ok_or_else(|| Status::not_found("no such transfer on this box"))?;
+        let id: BoxId = request
+            .box_id
+            .parse()
+            .map_err(|_| Status::invalid_argument("box_id is not a valid box name"))?;
         Ok((handle, peer_key(&id)))
     }
 }
 
-/// What comes next on the stream of a fetch.
+/// Next event on a chunk request's stream.
 enum StreamEvent {
-    /// The driver says that the turn has come.
+    /// The driver granted the request.
     Granted,
-    /// The asker says something.
+    /// The requesting peer sent a step.
     Step(Step),
-    /// The asker is gone.
+    /// The requesting peer closed the stream.
     Closed,
 }
 
@@ -257,20 +262,20 @@
 }
 
 async fn send_event(inputs: &mpsc::Sender<DriverInput>, event: SwarmEvent) {
-    // The driver may have ended; the stream then ends at its next step.
+    // Sending fails if the driver has ended; the stream then ends at its next step.
     let _ = inputs.send(DriverInput::Event(event)).await;
 }
 
 async fn read_request(steps: &mut Streaming<FetchStep>) -> Result<FetchChunkRequest, Status> {
     match steps.message().await?.and_then(|step| step.step) {
         Some(Step::Ask(request)) => Ok(request),
-        _ => Err(Status::invalid_argument("the first step must be an ask")),
+        _ => Err(Status::invalid_argument("the first step must be a chunk request")),
     }
 }
 
 fn refusal_status(failure: FetchFailure) -> Status {
     match failure {
         FetchFailure::Busy => Status::resource_exhausted("busy"),
-        _ => Status::not_found("the chunk is not here"),
+        _ => Status::not_found("the chunk is not held by this box"),
     }
 }
--- a/crates/daemon/src/agent/serve.rs
+++ b/crates/daemon/src/agent/serve.rs
@@ -1,4 +1,5 @@
-//! The endpoint service: takes a request from an entry and runs it at the endpoint.
+//! The endpoint service: forwards requests from entries to the endpoint and streams the answers
+//! back.
 
 use std::{pin::Pin, sync::Arc, time::Duration};
 
@@ -21,13 +22,13 @@
     trace::{HopSpan, TRACEPARENT},
 };
 
-/// When it is worth asking a busy endpoint again.
+/// Retry delay suggested to an entry when the endpoint is busy.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The last event of a streamed completion; without it a stream is not whole.
+/// Last event of a streamed completion; a stream that ends without it is truncated.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -51,7 +52,7 @@
 }
 
 impl EndpointService {
-    /// The service of `desk`'s endpoint.
+    /// A service for the endpoint of `admission`.
     pub fn new(node: Arc<NodeContext>, admission: Arc<EndpointAdmission>) -> Self {
         Self { node, admission, pooled: HttpCaller::pooled(), unpooled: HttpCaller::fresh() }
     }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Makes the frames of one answer.
+/// Builds the numbered frames of one answer.
 struct FrameBuilder {
     request_id: String,
     sequence: u64,
@@ -90,7 +91,7 @@
     }
 }
 
-/// One request at the endpoint.
+/// One request to the endpoint.
 struct EndpointRequest {
     span: HopSpan,
     node: Arc<NodeContext>,
@@ -118,7 +119,10 @@
             let response = match sent {
                 Ok(Ok(response)) => response,
                 Ok(Err(error)) if error.verdict == RunVerdict::NotRun => {
-                    log::warn!("serve: {} did not reach its endpoint, {error}", self.request.request_id);
+                    log::warn!(
+                        "serve: request {} did not reach the endpoint, {error}",
+                        self.request.request_id
+                    );
                     permit.release_key();
                     yield Ok(self.refuse(RefusalCause::Unreachable));
                     return;
@@ -150,7 +154,7 @@
                         return;
                     }
                     Err(_) => {
-                        let message = "the deadline passed in the middle of the answer";
+                        let message = "the deadline passed before the answer was complete";
                         yield Ok(self.end(RunVerdict::MayHaveRun, sent_bytes, message.to_owned()));
                         return;
                     }
@@ -161,7 +165,7 @@
             }
             let requires_done_event = streams && parts.status.is_success() && permit.set.is_some();
             if requires_done_event && !tail.is_ended() {
-                let message = "the engine's stream lacks its last event";
+                let message = "the engine's stream ended without its [DONE] event";
                 yield Ok(self.end(RunVerdict::MayHaveRun, sent_bytes, message.to_owned()));
                 return;
             }
@@ -213,7 +217,7 @@
     fn end(&mut self, verdict: RunVerdict, body_bytes: u64, error: String) -> ServeFrame {
         self.node.metrics.count_request(verdict);
         if !error.is_empty() {
-            log::warn!("serve: {} was broken off, {error}", self.request.request_id);
+            log::warn!("serve: request {} failed, {error}", self.request.request_id);
         }
         let verdict = codec::encode_verdict(verdict).into();
         let load = self.load();
@@ -221,7 +225,7 @@
     }
 }
 
-/// The end of a stream, to see whether its last event came.
+/// The last bytes of a stream, kept to check whether it ended with `DONE_EVENT`.
 #[derive(Debug, Default)]
 struct StreamTail(Vec<u8>);
 
@@ -244,7 +248,7 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// Headers as messages, without those of one connection.
+/// Encodes headers as messages, without hop-by-hop headers.
 pub fn encode_headers(headers: &HeaderMap) -> Vec<Header> {
     let passed = headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()));
     passed
@@ -255,7 +259,8 @@
         .collect()
 }
 
-/// Headers from messages, without those of one connection or that are malformed.
+/// Decodes headers from messages, without hop-by-hop headers, `Content-Length` and malformed
+/// headers.
 pub fn decode_headers(headers: &[Header]) -> HeaderMap {
     let decoded = headers.iter().filter_map(|header| {
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
--- a/crates/daemon/src/agent/swarm.rs
+++ b/crates/daemon/src/agent/swarm.rs
@@ -1,4 +1,4 @@
-//! Carries out what the planner of one transfer decides.
+//! Executes the actions of one transfer's planner.
 
 use std::{
     collections::HashMap,
@@ -34,51 +34,52 @@
     node::{NodeContext, codec},
 };
 
-/// Events that wait for a driver; notes beyond are lost, which the protocol bears.
+/// Capacity of a driver's input queue. Notes that do not fit are dropped; the protocol tolerates
+/// lost notes.
 const MAX_QUEUED_INPUTS: usize = 8192;
 
-/// What a driver is told.
+/// An input of a swarm driver.
 #[derive(Debug)]
 pub enum DriverInput {
-    /// Something for the planner.
+    /// An event for the planner.
     Event(SwarmEvent),
-    /// A box asks for a chunk; what becomes of it is told over `session`.
+    /// A peer requests a chunk; replies are sent over `session`.
     ChunkRequested {
-        /// Who asks.
+        /// The requesting peer.
         from: PeerKey,
-        /// For what.
+        /// The requested chunk.
         chunk: ChunkIndex,
-        /// Chunks that it holds.
+        /// Number of chunks the peer holds.
         held: u32,
-        /// Where to tell.
+        /// Receives the replies.
         session: mpsc::Sender<SessionReply>,
     },
-    /// The boxes that take part, with their addresses.
+    /// The participating peers, with their addresses.
     Peers(Vec<(PeerLocation, SocketAddr)>),
 }
 
-/// What becomes of a box's ask.
+/// Reply to a peer's chunk request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionReply {
-    /// Its turn has come.
+    /// The chunk can be sent now.
     Granted,
-    /// It will not be served now.
+    /// The chunk will not be sent now.
     Refused(FetchFailure),
 }
 
-/// A transfer that runs.
+/// Handle to a running transfer; the transfer is aborted when the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct SwarmHandle {
-    /// What is transferred.
+    /// Manifest of the transferred files.
     pub manifest: Arc<Manifest>,
-    /// The manifest's text, for others.
+    /// The manifest's encoded text, served to peers.
     pub text: Bytes,
     inputs: mpsc::Sender<DriverInput>,
     state: Arc<SwarmState>,
     _task: Arc<AbortOnDrop>,
 }
 
-/// Figures that a driver keeps up to date.
+/// Progress counters updated by a driver.
 #[derive(Debug, Default)]
 struct SwarmState {
     held: AtomicU64,
@@ -86,7 +87,7 @@
     complete: AtomicBool,
 }
 
-/// Ends a task when the last handle to it is gone.
+/// Aborts a task on drop.
 #[derive(Debug)]
 struct AbortOnDrop(AbortHandle);
 
@@ -97,50 +98,51 @@
 }
 
 impl SwarmHandle {
-    /// Chunks that are here.
+    /// Number of chunks held.
     pub fn held(&self) -> u64 {
         self.state.held.load(Ordering::Relaxed)
     }
 
-    /// Bytes that this transfer has brought in.
+    /// Bytes fetched by this transfer.
     pub fn bytes(&self) -> u64 {
         self.state.bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether every chunk is here and verified.
+    /// Whether every chunk is held and verified.
     pub fn is_complete(&self) -> bool {
         self.state.complete.load(Ordering::Relaxed)
     }
 
-    /// Tells the driver something; false if it has too much to do to listen.
+    /// Queues an input for the driver without waiting; false if the queue is full or the driver has
+    /// ended.
     pub fn try_send(&self, input: DriverInput) -> bool {
         self.inputs.try_send(input).is_ok()
     }
 
-    /// Where to tell the driver something and wait until it listens.
+    /// The driver's input queue, for callers that wait for capacity.
     pub fn inputs(&self) -> mpsc::Sender<DriverInput> {
         self.inputs.clone()
     }
 }
 
-/// What a driver works with.
+/// Dependencies of a swarm driver.
 #[derive(Debug, Clone)]
 pub struct SwarmContext {
     /// This node.
     pub node: Arc<NodeContext>,
-    /// Chunks.
+    /// Verified chunks of this box.
     pub chunk_cache: Arc<ChunkCache>,
-    /// This box's link inwards.
+    /// Rate limit of this box's downlink.
     pub downlink: Arc<LinkPacer>,
-    /// Carries notes to other boxes.
+    /// Sends notes to peers.
     pub note_sender: Arc<dyn NoteSender>,
-    /// The origin.
+    /// Reads chunks from the origin, if configured.
     pub origin: Option<Arc<dyn ChunkReader>>,
-    /// The store.
+    /// Reads chunks from the store, if configured.
     pub store: Option<Arc<dyn ChunkReader>>,
 }
 
-/// Carries out what one planner decides.
+/// Feeds events to one planner and executes its actions.
 struct SwarmDriver {
     context: SwarmContext,
     location: String,
@@ -277,13 +279,13 @@
     }
 
     fn complete(&mut self) {
-        log::info!("burst: {} is whole", self.location);
+        log::info!("burst: {} is complete", self.location);
         self.state.complete.store(true, Ordering::Relaxed);
     }
 
     fn send_step(&mut self, chunk: ChunkIndex, step: Step) {
         if let Some(fetch) = self.fetches.get(&chunk) {
-            // The fetch may have ended just now; then nobody waits for the step.
+            // Sending fails if the fetch has just ended, and the step is then irrelevant.
             let _ = fetch.steps.try_send(step);
         }
     }
@@ -301,7 +303,7 @@
     fn queue_input(&self, input: DriverInput) {
         let inputs = self.input_sender.clone();
         tokio::spawn(async move {
-            // The driver may have ended; then nobody needs to know.
+            // Sending fails if the driver has ended, and the input is then irrelevant.
             let _ = inputs.send(input).await;
         });
     }
@@ -339,14 +341,14 @@
         };
         let inputs = self.input_sender.clone();
         let lost = move || {
-            // A driver that has ended, or that has too much to do, learns it from the silence.
+            // If the queue is full, the planner detects the unreachable peer by its missing notes.
             let _ = inputs.try_send(DriverInput::Event(SwarmEvent::PeerUnreachable(to)));
         };
         self.context.note_sender.send(address, message, Box::new(lost));
     }
 }
 
-/// One fetch.
+/// The fetch of one chunk from one source.
 struct ChunkFetch {
     context: SwarmContext,
     manifest: Arc<Manifest>,
@@ -373,12 +375,12 @@
         if let SwarmEvent::Failed { failure, .. } = &event {
             self.context.node.metrics.count_chunk_failure(failure_name(*failure));
         }
-        // The driver may have ended; then nobody needs to know.
+        // Sending fails if the driver has ended, and the result is then irrelevant.
         let _ = self.inputs.send(DriverInput::Event(event)).await;
     }
 
-    /// Writes down what came of a draw: how many of them a burst takes, and how long each, is not seen
-    /// from any single box.
+    /// Records the outcome of a chunk read from the origin. No single box sees how many of these
+    /// reads a burst makes or how long each takes; the records of all boxes together show it.
     fn record_origin_read(&self, started: Moment, failure: Option<FetchFailure>) {
         let fields = json!({
             "chunk": self.chunk.0, "manifest": self.manifest.digest().to_string(),
@@ -399,7 +401,7 @@
                 Ok(())
             }
             Some(Err(full)) => {
-                log::error!("burst: chunk {} has no room, {full}", self.chunk);
+                log::error!("burst: chunk {} was discarded, {full}", self.chunk);
                 Err(FetchFailure::Busy)
             }
             None => {
@@ -441,7 +443,7 @@
         let forward_grants = async {
             while granted.recv().await == Some(()) {
                 let event = SwarmEvent::Granted { chunk: self.chunk, source: self.source };
-                // The driver may have ended; then this task ends as well.
+                // Sending fails if the driver has ended, which aborts this task as well.
                 let _ = self.inputs.send(DriverInput::Event(event)).await;
             }
         };
@@ -469,12 +471,12 @@
     }
 }
 
-/// Key of a box in a transfer.
+/// Key that identifies a box in a transfer.
 pub fn peer_key(id: &headlatch_types::id::BoxId) -> PeerKey {
     PeerKey(id.key())
 }
 
-/// Digest of the manifest that a message is about.
+/// Decodes the manifest digest of a message; `None` if its length is wrong.
 pub fn manifest_digest(bytes: &[u8]) -> Option<Digest> {
     Digest::try_from(bytes).ok()
 }
--- a/crates/daemon/src/agent/watch.rs
+++ b/crates/daemon/src/agent/watch.rs
@@ -1,4 +1,4 @@
-//! Looks after a plain service's health and publishes what runs at an endpoint.
+//! Checks the health of a plain service and publishes the endpoint's readiness.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,13 +8,13 @@
 use super::admission::EndpointAdmission;
 use crate::node::{NodeContext, admin::ReadyFlag};
 
-/// How often an endpoint is looked at.
+/// Interval between checks of an endpoint.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time to connect to a plain service.
+/// Timeout for connecting to a plain service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches one endpoint.
+/// Monitors one endpoint.
 pub struct EndpointWatcher {
     node: Arc<NodeContext>,
     admission: Arc<EndpointAdmission>,
@@ -22,7 +22,7 @@
 }
 
 impl EndpointWatcher {
-    /// A watcher of `desk`'s endpoint, which sets `ready`.
+    /// A watcher of the endpoint of `admission`, which updates `ready`.
     pub fn new(
         node: Arc<NodeContext>,
         admission: Arc<EndpointAdmission>,
@@ -31,7 +31,7 @@
         Self { node, admission, ready }
     }
 
-    /// Runs until the stop.
+    /// Runs until the stop signal.
     pub async fn run(self, mut signal: StopSignal) {
         let mut ticks = self.node.timer.subscribe(CHECK_INTERVAL);
         loop {
@@ -57,7 +57,10 @@
         let in_progress = {
             let mut admission = self.admission.lock();
             if admission.healthy != healthy {
-                log::info!("endpoint: {address} {}", if healthy { "answers" } else { "is gone" });
+                log::info!(
+                    "endpoint: {address} {}",
+                    if healthy { "accepts connections" } else { "does not accept connections" }
+                );
             }
             admission.healthy = healthy;
             admission.in_progress
--- a/crates/daemon/src/agent/weights.rs
+++ b/crates/daemon/src/agent/weights.rs
@@ -1,4 +1,4 @@
-//! Files of whole weights, for the engine to read.
+//! Serves the files of completely transferred weights to the engine.
 
 use std::sync::Arc;
 
@@ -27,8 +27,12 @@
     router.route(
         "/weights/{manifest}/{*path}",
         get(move |uri: Uri| async move {
-            read_file(&registry, &chunk_cache, &uri)
-                .unwrap_or_else(|| text(StatusCode::NOT_FOUND, "no such file here\n".to_owned()))
+            read_file(&registry, &chunk_cache, &uri).unwrap_or_else(|| {
+                text(
+                    StatusCode::NOT_FOUND,
+                    "file not found or not complete on this box\n".to_owned(),
+                )
+            })
         }),
     )
 }
@@ -46,7 +50,8 @@
     let manifest = handle.manifest;
     let file = manifest.files().iter().position(|file| file.path == path)?;
     let chunks = manifest.chunks().iter().filter(|place| place.file == file);
-    // All chunks are taken out at once, so that a file is whole or not there at all.
+    // All chunks are collected before the response starts, so that a file with a missing chunk
+    // gives 404 instead of a truncated body.
     let data: Vec<Bytes> =
         chunks.map(|place| chunk_cache.get(&place.digest)).collect::<Option<_>>()?;
     let frames = data.into_iter().map(|chunk| Ok::<_, BoxError>(Frame::data(chunk)));
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -1,4 +1,6 @@
-//! One attempt against an agent that misbehaves at every step of an answer.
+//! An entry's single attempt at a request, against an agent that fails at a given step of its
+//! answer. Guards against returning an answer with missing, repeated or foreign frames as complete,
+//! and against reporting "not run" for a request that may have run.
 
 use std::{net::SocketAddr, pin::Pin};
 
@@ -19,7 +21,7 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status};
 
-/// What an agent does wrong.
+/// How the scripted agent misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AgentFault {
     None,
@@ -99,7 +101,7 @@
     address
 }
 
-/// What an attempt came to: its verdict, and the whole answer if there is one.
+/// Runs one attempt and returns its verdict, and the answer if it is complete.
 async fn attempt(address: SocketAddr) -> (RunVerdict, Option<String>) {
     let request = ServeRequest { request_id: "mine".to_owned(), ..ServeRequest::default() };
     let mut answer = match attempt::begin(&ChannelCache::default(), address, request).await {
