--- a/crates/daemon/src/agent/admission.rs
+++ b/crates/daemon/src/agent/admission.rs
@@ -17,7 +17,7 @@
     /// Gate that determines which weight set may be served; unused for a plain service.
     pub gate: WeightGate,
     /// Model names under which callers may request the served weights.
-    pub names: Vec<String>,
+    pub model_names: Vec<String>,
     /// Number of requests in progress.
     pub in_progress: u32,
     /// Whether this box is leaving; new requests are then refused.
@@ -104,9 +104,13 @@
             Some(_) => Err(RefusalCause::NotServing),
             None => {
                 let set = state.gate.serving().ok_or(RefusalCause::NotServing)?;
-                let named = state.names.contains(&request.model);
-                let fits = request.set_key == 0 || request.set_key == set.0;
-                if named && fits { Ok(Some(set)) } else { Err(RefusalCause::NotServing) }
+                let name_matches = state.model_names.contains(&request.model);
+                let set_matches = request.set_key == 0 || request.set_key == set.0;
+                if name_matches && set_matches {
+                    Ok(Some(set))
+                } else {
+                    Err(RefusalCause::NotServing)
+                }
             }
         }
     }
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -221,13 +221,13 @@
         log::info!("burst: starting transfer of {}, {}", part.location, manifest.total());
         let settings = self.swarm_settings(&manifest, goal);
         let context = self.context(part);
-        let me = peer_location(self.node.table().own());
+        let own_location = peer_location(self.node.table().own());
         self.registry.add(swarm::start(
             context,
             part.location.clone(),
             (text, Arc::new(manifest)),
             settings,
-            me,
+            own_location,
         ));
     }
 
@@ -274,7 +274,7 @@
     ) -> Option<(Bytes, Manifest)> {
         let own = peer_key(&self.node.settings.box_id);
         let ranked = ranking(part.manifest.key(), peers.iter().map(|(peer, _)| peer.key.0));
-        let reader = ranked.iter().take(MANIFEST_ORIGIN_READERS).any(|key| *key == own.0);
+        let reads_origin = ranked.iter().take(MANIFEST_ORIGIN_READERS).any(|key| *key == own.0);
         let address = |key: &u64| {
             peers.iter().find(|(peer, _)| peer.key.0 == *key).map(|(_, address)| *address)
         };
@@ -285,7 +285,7 @@
                 return Some(found);
             }
         }
-        if !reader && now.since(since) < MANIFEST_PEER_TIMEOUT {
+        if !reads_origin && now.since(since) < MANIFEST_PEER_TIMEOUT {
             return None;
         }
         for source in self.sources(part).into_iter().flatten() {
@@ -349,7 +349,7 @@
                 return;
             }
             let order = admission.gate.issue_order(report);
-            admission.names = model.caller_names();
+            admission.model_names = model.caller_names();
             order
         };
         let Some((set, token)) = order else { return };
--- a/crates/daemon/src/agent/swarm.rs
+++ b/crates/daemon/src/agent/swarm.rs
@@ -170,7 +170,7 @@
     location: String,
     (text, manifest): (Bytes, Arc<Manifest>),
     settings: SwarmSettings,
-    me: PeerLocation,
+    own_location: PeerLocation,
 ) -> SwarmHandle {
     let (sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
     let state = Arc::new(SwarmState::default());
@@ -180,7 +180,7 @@
     });
     let salt = manifest.digest().key();
     let tick = settings.timings.tick;
-    let planner = SwarmPlanner::begin(settings, salt, me, held, context.node.now());
+    let planner = SwarmPlanner::begin(settings, salt, own_location, held, context.node.now());
     let driver = SwarmDriver {
         context,
         location,
@@ -292,8 +292,8 @@
 
     fn reply_to_request(&mut self, to: PeerKey, chunk: ChunkIndex, reply: SessionReply) {
         let session = self.sessions.get(&(to, chunk));
-        let told = session.is_some_and(|session| session.try_send(reply).is_ok());
-        if !told && reply == SessionReply::Granted {
+        let delivered = session.is_some_and(|session| session.try_send(reply).is_ok());
+        if !delivered && reply == SessionReply::Granted {
             self.sessions.remove(&(to, chunk));
             let event = SwarmEvent::RequestCancelled { from: to, chunk };
             self.queue_input(DriverInput::Event(event));
