--- a/crates/daemon/src/agent/watch.rs
+++ b/crates/daemon/src/agent/watch.rs
@@ -59,7 +59,7 @@
             if admission.healthy != healthy {
                 log::info!(
                     "endpoint: {address} {}",
-                    if healthy { "accepts connections" } else { "does not accept connections" }
+                    if healthy { "answers" } else { "does not answer" }
                 );
             }
             admission.healthy = healthy;
