--- a/crates/daemon/src/agent/desk.rs
+++ b/crates/daemon/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! The last gate before an endpoint: what may run here now.
+//! Admission control in front of an endpoint.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -10,58 +10,58 @@
 use headlatch_types::{fleet::SetKey, settings::EndpointSettings};
 use headlatch_wire::{RefusalCause, ServeRequest};
 
-/// What a desk knows, under one lock, so that closing the gate and counting requests in progress
-/// cannot pass each other.
+/// State of admission control. One lock covers the gate and the count of requests in progress, so
+/// that no request can be admitted between closing the gate and reading the count.
 #[derive(Debug, Default)]
-pub struct DeskState {
-    /// The gate; not used for a plain service.
+pub struct AdmissionState {
+    /// Gate that determines which weight set may be served; unused for a plain service.
     pub gate: WeightGate,
-    /// Names under which callers may ask for what serves here.
-    pub names: Vec<String>,
-    /// Requests in progress.
+    /// Model names under which callers may request the served weights.
+    pub model_names: Vec<String>,
+    /// Number of requests in progress.
     pub in_progress: u32,
-    /// Whether this box is about to leave.
+    /// Whether this box is leaving; new requests are then refused.
     pub leaving: bool,
-    /// Whether the endpoint answers.
+    /// Whether the last health check of the endpoint succeeded.
     pub healthy: bool,
-    /// Keys of requests that may run once.
+    /// Idempotency keys of requests that may run only once.
     pub keys: IdempotencyKeys,
 }
 
-/// Decides for each request whether it may run at this endpoint.
+/// Decides whether a request may run at this endpoint.
 #[derive(Debug)]
-pub struct EndpointDesk {
+pub struct EndpointAdmission {
     settings: EndpointSettings,
     box_id: String,
-    state: Mutex<DeskState>,
+    state: Mutex<AdmissionState>,
 }
 
-/// Leave to run one request; it counts as in progress until this is dropped.
+/// Permit to run one request, which counts as in progress until the permit is dropped.
 #[derive(Debug)]
 pub struct RunPermit<'a> {
-    desk: &'a EndpointDesk,
-    /// The weights that will answer; none for a plain service.
+    admission: &'a EndpointAdmission,
+    /// Weight set that serves the request; `None` for a plain service.
     pub set: Option<SetKey>,
     key: Option<String>,
 }
 
-impl EndpointDesk {
-    /// A desk for the endpoint of box `box_id`.
+impl EndpointAdmission {
+    /// Admission control for the endpoint of box `box_id`.
     pub fn new(settings: EndpointSettings, box_id: String) -> Self {
         Self { settings, box_id, state: Mutex::default() }
     }
 
-    /// What the desk knows.
-    pub fn lock(&self) -> MutexGuard<'_, DeskState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    /// Locks the admission state.
+    pub fn lock(&self) -> MutexGuard<'_, AdmissionState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The endpoint.
+    /// Settings of the endpoint.
     pub fn endpoint(&self) -> &EndpointSettings {
         &self.settings
     }
 
-    /// Lets a request run, or says why it certainly does not.
+    /// Admits a request, or returns the cause of refusal; a refused request certainly did not run.
     pub fn admit(
         &self,
         now: Moment,
@@ -91,12 +91,12 @@
             }
         }
         state.in_progress += 1;
-        Ok(RunPermit { desk: self, set, key })
+        Ok(RunPermit { admission: self, set, key })
     }
 
     fn check_target(
         &self,
-        state: &DeskState,
+        state: &AdmissionState,
         request: &ServeRequest,
     ) -> Result<Option<SetKey>, RefusalCause> {
         match &self.settings.service {
@@ -104,26 +104,30 @@
             Some(_) => Err(RefusalCause::NotServing),
             None => {
                 let set = state.gate.serving().ok_or(RefusalCause::NotServing)?;
-                let named = state.names.contains(&request.model);
-                let fits = request.set_key == 0 || request.set_key == set.0;
-                if named && fits { Ok(Some(set)) } else { Err(RefusalCause::NotServing) }
+                let name_matches = state.model_names.contains(&request.model);
+                let set_matches = request.set_key == 0 || request.set_key == set.0;
+                if name_matches && set_matches {
+                    Ok(Some(set))
+                } else {
+                    Err(RefusalCause::NotServing)
+                }
             }
         }
     }
 }
 
 impl RunPermit<'_> {
-    /// The request certainly did not run after all: its key may be used again.
-    pub fn unrun(mut self) {
+    /// Ends the permit of a request that certainly did not run, so that its key may be used again.
+    pub fn release_key(mut self) {
         if let Some(key) = self.key.take() {
-            self.desk.lock().keys.release(&key);
+            self.admission.lock().keys.release(&key);
         }
     }
 }
 
 impl Drop for RunPermit<'_> {
     fn drop(&mut self) {
-        let mut state = self.desk.lock();
+        let mut state = self.admission.lock();
         state.in_progress = state.in_progress.saturating_sub(1);
         if let Some(key) = &self.key {
             state.keys.mark_spent(key);
--- a/crates/daemon/src/agent/vault.rs
+++ b/crates/daemon/src/agent/chunk_cache.rs
@@ -1,4 +1,4 @@
-//! Verified chunks in bounded memory, by digest.
+//! A bounded in-memory cache of verified chunks, keyed by digest.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -8,51 +8,51 @@
 use bytes::Bytes;
 use headlatch_types::{ChunkIndex, Digest, Manifest, digest::DigestKind, quantity::ByteSize};
 
-/// There is no room for a chunk.
+/// A chunk does not fit in the memory limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("chunk_memory is full; raise it in the settings to hold a whole version")]
-pub struct VaultFull;
+pub struct ChunkCacheFull;
 
 #[derive(Debug, Default)]
-struct VaultState {
+struct ChunkCacheState {
     chunks: HashMap<Digest, Bytes>,
     used: u64,
 }
 
-/// Chunks that this box holds; each has been verified before it came in.
+/// Chunks held by this box; each is verified against its digest before it is stored.
 #[derive(Debug)]
-pub struct ChunkVault {
-    state: Mutex<VaultState>,
+pub struct ChunkCache {
+    state: Mutex<ChunkCacheState>,
     limit: ByteSize,
 }
 
-impl ChunkVault {
-    /// An empty vault for `limit` bytes.
+impl ChunkCache {
+    /// An empty cache that holds at most `limit`.
     pub fn new(limit: ByteSize) -> Self {
         Self { state: Mutex::default(), limit }
     }
 
-    fn lock(&self) -> MutexGuard<'_, VaultState> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ChunkCacheState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Most bytes it holds.
+    /// Memory limit.
     pub fn limit(&self) -> ByteSize {
         self.limit
     }
 
-    /// Bytes it holds.
+    /// Total size of the held chunks.
     pub fn used(&self) -> ByteSize {
         ByteSize::from_bytes(self.lock().used)
     }
 
-    /// Takes a chunk in if its digest fits; `None` if it does not.
+    /// Stores a chunk if `data` matches `digest`; `None` if it does not match.
     pub fn put(
         &self,
         kind: DigestKind,
         digest: Digest,
         data: Bytes,
-    ) -> Option<Result<(), VaultFull>> {
+    ) -> Option<Result<(), ChunkCacheFull>> {
         if kind.of(&data) != digest {
             return None;
         }
@@ -61,19 +61,19 @@
             return Some(Ok(()));
         }
         if state.used + data.len() as u64 > self.limit.bytes() {
-            return Some(Err(VaultFull));
+            return Some(Err(ChunkCacheFull));
         }
         state.used += data.len() as u64;
         state.chunks.insert(digest, data);
         Some(Ok(()))
     }
 
-    /// A chunk, if it is here.
+    /// The chunk with this digest, if held.
     pub fn get(&self, digest: &Digest) -> Option<Bytes> {
         self.lock().chunks.get(digest).cloned()
     }
 
-    /// The chunks of a manifest that are here.
+    /// Indexes of the manifest's chunks that are held.
     pub fn held(&self, manifest: &Manifest) -> Vec<ChunkIndex> {
         let state = self.lock();
         let chunks = manifest.chunks().iter().zip(0u32..);
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Drops every chunk that no manifest in `wanted` has.
+    /// Drops every chunk that no manifest in `wanted` lists.
     pub fn retain<'a>(&self, wanted: impl Iterator<Item = &'a Manifest>) {
         let digests: HashSet<Digest> =
             wanted.flat_map(|one| one.chunks()).map(|place| place.digest).collect();
--- a/crates/daemon/src/agent/fetch.rs
+++ b/crates/daemon/src/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches of single chunks and of manifests.
+//! Fetches chunks and manifests from the origin, the store and peers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,49 +22,49 @@
 
 use crate::node::channels::ChannelCache;
 
-/// Time after which a source that sends nothing is given up.
-const STALL_TIME: Duration = Duration::from_secs(20);
+/// Time without data after which a fetch from the origin or the store fails.
+const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Characters of a path that need no escape.
-const PATH: &AsciiSet =
+/// Path characters that are not percent-encoded.
+const UNESCAPED_PATH: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'.').remove(b'-').remove(b'_').remove(b'~');
 
-/// Escapes a file's path for a URL.
+/// Percent-encodes a file's path for a URL.
 pub fn escape_path(path: &str) -> String {
-    utf8_percent_encode(path, PATH).to_string()
+    utf8_percent_encode(path, UNESCAPED_PATH).to_string()
 }
 
-/// An origin or store, with the folder of one version.
+/// The folder of one version at the origin or the store.
 #[derive(Debug, Clone)]
-pub struct OutsideSource {
-    /// Its base URL.
+pub struct HttpSource {
+    /// Base URL of the origin or the store.
     pub url: ServiceUrl,
-    /// The version's folder.
+    /// Path of the version's folder below the base URL.
     pub location: String,
 }
 
-/// Reads from origin and store over this box's link.
+/// Reads from the origin and the store over HTTP, paced by this box's downlink.
 #[derive(Debug, Clone)]
-pub struct OutsideFetcher {
+pub struct HttpFetcher {
     caller: HttpCaller,
-    down: Arc<LinkPacer>,
+    downlink: Arc<LinkPacer>,
 }
 
-impl OutsideFetcher {
-    /// A fetcher whose bytes come in over `down`.
-    pub fn new(down: Arc<LinkPacer>) -> Self {
-        Self { caller: HttpCaller::pooled(), down }
+impl HttpFetcher {
+    /// A fetcher that paces its reads by `downlink`.
+    pub fn new(downlink: Arc<LinkPacer>) -> Self {
+        Self { caller: HttpCaller::pooled(), downlink }
     }
 
-    /// The link that its bytes come in over.
-    pub fn down(&self) -> Arc<LinkPacer> {
-        self.down.clone()
+    /// Rate limit of the downlink.
+    pub fn downlink(&self) -> Arc<LinkPacer> {
+        self.downlink.clone()
     }
 
-    /// Reads the bytes of one chunk; they are not verified yet.
+    /// Reads the bytes of one chunk without verifying them.
     pub async fn chunk(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         manifest: &Manifest,
         place: &ChunkPlace,
     ) -> Result<Bytes, FetchFailure> {
@@ -74,15 +74,15 @@
         self.read(source, &file.path, Some(&range), place.length as usize).await
     }
 
-    /// Reads a version's manifest and checks its digest.
+    /// Reads a version's manifest and verifies its digest.
     pub async fn manifest(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         digest: Digest,
     ) -> Result<(Bytes, Manifest), FetchFailure> {
         let text = self.read(source, MANIFEST_FILE, None, MAX_MANIFEST_BYTES).await?;
         let manifest = Manifest::verify(&text, digest).map_err(|error| {
-            log::warn!("burst: the manifest at {} is wrong, {error}", source.location);
+            log::warn!("burst: the manifest at {} failed verification, {error}", source.location);
             FetchFailure::Corrupt
         })?;
         Ok((text, manifest))
@@ -90,10 +90,10 @@
 
     async fn read(
         &self,
-        source: &OutsideSource,
+        source: &HttpSource,
         path: &str,
         range: Option<&str>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, FetchFailure> {
         let mut headers = HeaderMap::new();
         if let Some(value) = range.and_then(|range| HeaderValue::from_str(range).ok()) {
@@ -103,7 +103,7 @@
         let address = source.url.address();
         let start = format!("http://{address}").len();
         let call = self.caller.send(address, Method::GET, &url[start..], headers, Bytes::new());
-        let answered = tokio::time::timeout(STALL_TIME, call).await;
+        let answered = tokio::time::timeout(STALL_TIMEOUT, call).await;
         let response = answered.ok().and_then(Result::ok).ok_or(FetchFailure::Unreachable)?;
         check_status(response.status(), range.is_some())?;
         let mut body = response.into_body();
@@ -111,8 +111,8 @@
         while let Some(frame) = next_frame(&mut body).await? {
             let frame = frame.map_err(|_| FetchFailure::Unreachable)?;
             let Ok(piece) = frame.into_data() else { continue };
-            self.down.send(piece.len()).await;
-            if data.len() + piece.len() > most {
+            self.downlink.send(piece.len()).await;
+            if data.len() + piece.len() > max_bytes {
                 return Err(FetchFailure::Corrupt);
             }
             data.extend_from_slice(&piece);
@@ -121,19 +121,19 @@
     }
 }
 
-/// The next frame of a body, unless nothing comes for long.
+/// The next frame of a body; fails if none arrives within `STALL_TIMEOUT`.
 async fn next_frame(
     body: &mut Body,
 ) -> Result<Option<Result<Frame<Bytes>, BoxError>>, FetchFailure> {
-    let next = tokio::time::timeout(STALL_TIME, body.frame()).await;
+    let next = tokio::time::timeout(STALL_TIMEOUT, body.frame()).await;
     next.map_err(|_| FetchFailure::Unreachable)
 }
 
 fn check_status(status: StatusCode, ranged: bool) -> Result<(), FetchFailure> {
     match status {
         StatusCode::PARTIAL_CONTENT if ranged => Ok(()),
-        // A server that ignores ranges sends the whole file, which is right for small files only;
-        // a longer body is cut off by the limit and counts as corrupt.
+        // A server that ignores ranges sends the whole file. That is correct for a file of a single
+        // chunk; a longer body exceeds the size limit and counts as corrupt.
         StatusCode::OK => Ok(()),
         StatusCode::NOT_FOUND | StatusCode::RANGE_NOT_SATISFIABLE => Err(FetchFailure::Absent),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Err(FetchFailure::Busy),
@@ -141,9 +141,9 @@
     }
 }
 
-/// Reads single chunks of one version from somewhere outside.
+/// Reads chunks of one version from a source outside the fleet.
 pub trait ChunkReader: Send + Sync + std::fmt::Debug {
-    /// The bytes of a chunk; they are not verified yet.
+    /// Reads the bytes of a chunk without verifying them.
     fn read<'a>(
         &'a self,
         manifest: &'a Manifest,
@@ -151,16 +151,16 @@
     ) -> OutsideFuture<'a, Result<Bytes, FetchFailure>>;
 }
 
-/// Reads chunks as ranges of files below a folder.
+/// Reads chunks as HTTP byte ranges of the files in a folder.
 #[derive(Debug)]
-pub struct FolderReader {
-    /// Reads the ranges.
-    pub fetcher: OutsideFetcher,
-    /// The folder.
-    pub source: OutsideSource,
+pub struct HttpChunkReader {
+    /// Sends the range requests.
+    pub fetcher: HttpFetcher,
+    /// The folder that holds the files.
+    pub source: HttpSource,
 }
 
-impl ChunkReader for FolderReader {
+impl ChunkReader for HttpChunkReader {
     fn read<'a>(
         &'a self,
         manifest: &'a Manifest,
@@ -173,54 +173,54 @@
     }
 }
 
-/// What a fetch from a peer needs to know.
+/// Parameters of a chunk fetch from a peer.
 #[derive(Debug)]
-pub struct PeerAsk {
-    /// The peer's address.
+pub struct PeerFetchRequest {
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// The manifest.
+    /// Digest of the manifest.
     pub manifest: Digest,
-    /// The chunk.
+    /// Index of the chunk.
     pub chunk: ChunkIndex,
-    /// Its length in bytes.
+    /// Length of the chunk in bytes.
     pub length: usize,
-    /// This box.
+    /// Identifier of this box.
     pub box_id: String,
-    /// Chunks that this box holds.
+    /// Number of chunks this box holds.
     pub held: u32,
 }
 
-/// Asks a peer for a chunk and reads it; `turns` is told when its turn has come, and the answer to
-/// that comes over `steps`.
+/// Requests a chunk from a peer and reads it. Each grant of the peer is sent to `grants`; the
+/// answers to grants are received from `steps` and passed on to the peer.
 pub async fn fetch_from_peer(
     channels: &ChannelCache,
-    ask: PeerAsk,
+    fetch: PeerFetchRequest,
     steps: mpsc::Receiver<Step>,
-    turns: mpsc::Sender<()>,
-    down: &LinkPacer,
+    grants: mpsc::Sender<()>,
+    downlink: &LinkPacer,
 ) -> Result<Bytes, FetchFailure> {
     let request = FetchChunkRequest {
-        manifest: Bytes::copy_from_slice(ask.manifest.as_bytes()),
-        chunk: ask.chunk.0,
-        box_id: ask.box_id,
-        held: ask.held,
+        manifest: Bytes::copy_from_slice(fetch.manifest.as_bytes()),
+        chunk: fetch.chunk.0,
+        box_id: fetch.box_id,
+        held: fetch.held,
     };
     let outgoing = outgoing_steps(request, steps);
-    let mut client = channels.node(ask.address);
+    let mut client = channels.node(fetch.address);
     let response =
-        client.fetch_chunk(outgoing).await.map_err(|status| failure_of(status.code()))?;
+        client.fetch_chunk(outgoing).await.map_err(|status| failure_from_code(status.code()))?;
     let mut pieces = response.into_inner();
-    let mut data = BytesMut::with_capacity(ask.length);
+    let mut data = BytesMut::with_capacity(fetch.length);
     loop {
-        let piece = pieces.message().await.map_err(|status| failure_of(status.code()))?;
+        let piece = pieces.message().await.map_err(|status| failure_from_code(status.code()))?;
         let Some(piece) = piece else { break };
         if piece.turn {
-            // Nobody waits for it any more once the fetch is given up.
-            let _ = turns.send(()).await;
+            // Sending fails if the fetch has been cancelled, and the grant is then irrelevant.
+            let _ = grants.send(()).await;
             continue;
         }
-        down.send(piece.data.len()).await;
-        if data.len() + piece.data.len() > ask.length {
+        downlink.send(piece.data.len()).await;
+        if data.len() + piece.data.len() > fetch.length {
             return Err(FetchFailure::Corrupt);
         }
         data.extend_from_slice(&piece.data);
@@ -240,7 +240,7 @@
     }
 }
 
-fn failure_of(code: Code) -> FetchFailure {
+fn failure_from_code(code: Code) -> FetchFailure {
     match code {
         Code::ResourceExhausted => FetchFailure::Busy,
         Code::NotFound => FetchFailure::Absent,
@@ -248,7 +248,7 @@
     }
 }
 
-/// Asks a peer for a manifest and checks its digest.
+/// Requests a manifest from a peer and verifies its digest.
 pub async fn manifest_from_peer(
     channels: &ChannelCache,
     address: SocketAddr,
