--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -1,5 +1,5 @@
-//! The process beside a server: it tells of the server, hands on pieces, and has the server brought
-//! to the wanted weights.
+//! The agent that runs next to a server: it reports the server's state, serves pieces to other
+//! agents, and runs the stager that brings the server to the target version of its weights.
 
 use std::{
     collections::HashMap,
@@ -60,57 +60,60 @@
     trace::SpanMaker,
 };
 
-/// Memory for pieces: a version that is served, one that is staged and one that comes next.
+/// Memory for pieces of three versions: the one that is served, the one that is staged, and the
+/// next one.
 const PIECE_CACHE_SIZE: ByteSize = ByteSize::from_mib(24);
 
-/// Rate at which pieces are taken from the link, relative to the link's, in percent: the link paces
-/// them by itself, and what is waited for here as well comes late.
+/// Rate limit for receiving pieces, in percent of the link rate. The link itself already limits the
+/// rate; a second limit near it would only add delay.
 const PIECE_RATE_PERCENT: u64 = 300;
 
-/// What an agent is given to work with.
+/// External services that an agent uses.
 #[derive(Debug, Clone)]
 pub struct AgentDependencies {
-    /// The store of facts.
+    /// Store of facts.
     pub store: Arc<dyn FactStore>,
-    /// The server's stage.
+    /// Stage of the server.
     pub engine: Arc<dyn EngineStage>,
-    /// The origin of pieces.
+    /// Origin of pieces.
     pub origin: Arc<dyn PieceOrigin>,
 }
 
-/// What an agent believes, shared with its notices.
+/// State of an agent, shared between its tasks.
 #[derive(Debug)]
 pub(super) struct AgentState {
     /// Settings.
     pub(super) settings: DirectAgentSettings,
-    /// This node.
+    /// Context of this node.
     pub(super) node: Arc<NodeContext>,
-    /// The other processes.
+    /// Known entries and agents.
     pub(super) peers: Mutex<PeerTable>,
-    /// Wanted versions.
+    /// Target versions with the times since when they are known.
     wanted: Mutex<WeightDeadlines>,
-    /// What is told of the server.
+    /// State of the server as published in notices.
     pub(super) notice: Mutex<ServerNotice>,
-    /// What is told of the server has changed.
+    /// Wakes the notice task when `notice` has changed.
     pub(super) notice_changed: tokio::sync::Notify,
-    /// The server is about to change: entries must hear of it.
+    /// Set while the server is drained for a version switch. Notices to entries are repeated
+    /// meanwhile.
     pub(super) draining: AtomicBool,
-    /// Has the wanted weights read anew.
+    /// Triggers a new read of the target versions from the store.
     pub(super) weights_refresh: Arc<tokio::sync::Notify>,
-    /// Keys of agents' seats: to work one out takes a text and a hash, and every look needs all.
+    /// Cached keys of agents' seats. Each key costs string formatting and a hash, and every poll
+    /// needs all of them.
     seat_keys: Mutex<HashMap<SocketAddr, PeerKey>>,
-    /// Agents known, and since when that many have been.
+    /// Number of known agents, and the time since when it has not changed.
     agent_count: Mutex<(usize, Moment)>,
-    /// Wakes the stager when another version is wanted.
+    /// Wakes the stager when the target version changes.
     pub(super) wanted_changed: tokio::sync::Notify,
 }
 
-/// Locks a mutex; one that a panic has broken is used as it is.
+/// Locks a mutex. A mutex poisoned by a panic is used as it is.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|broken| broken.into_inner())
 }
 
-/// An agent that runs.
+/// A running agent.
 #[derive(Debug)]
 pub struct DirectAgent {
     state: Arc<AgentState>,
@@ -207,7 +210,7 @@
         Ok(Self { state, stop, tasks })
     }
 
-    /// Stops at once: nothing that callers wait for runs here.
+    /// Stops at once, without draining: an agent handles no requests that a caller waits for.
     pub fn leave(self) {
         let whole = lock(&self.state.notice).whole;
         decisions::note("life", "stopped", json!({ "whole": whole }));
@@ -229,19 +232,21 @@
         .serve_with_incoming(TcpListenerStream::new(listener))
         .await;
     if let Err(error) = served {
-        log::error!("agent: the control listener failed, {error}");
+        log::error!("agent: control listener failed: {error}");
     }
 }
 
-/// Time after a first start of the whole system in which the first agents of a failure domain wait to
-/// hear of an entry that reads the store; the others follow in turns.
+/// On the first start of the whole system, time for which the first agents of a failure domain wait
+/// for a notice of an entry that reads the store, before they read it themselves. Other agents wait
+/// longer, staggered by rank.
 const FIRST_START_READ_DELAY: Duration = Duration::from_millis(1500);
 
-/// The same after a start beside others, where an empty server waits for its weights.
+/// The same for an agent that joins a running system. It is shorter since an empty server waits for
+/// its weights.
 const RESTART_READ_DELAY: Duration = Duration::from_millis(400);
 
-/// Opens where no entry of the failure domain is known that reads the store: entries tell agents which
-/// versions are wanted, and every call is priced.
+/// Allows reading target versions from the store only while no entry of the failure domain is known
+/// to read it. Entries send agents the target versions, and every call to the store is charged for.
 #[derive(Debug)]
 struct WeightsReadGate {
     state: Arc<AgentState>,
@@ -261,14 +266,14 @@
 
     fn note(&self, _answered: bool) {}
 
-    /// Entries of all failure domains tell agents which versions are wanted.
+    /// Agents only stand by, since entries of all failure domains send them the target versions.
     fn duty(&self) -> ReaderDuty {
         ReaderDuty::StandsBy
     }
 }
 
 impl AgentState {
-    /// Wanted versions of a model, oldest first.
+    /// Returns the target versions of a model, oldest first.
     pub(super) fn wanted(&self, model: &ModelName) -> Vec<WantedVersion> {
         lock(&self.wanted).versions(self.node.now(), model)
     }
@@ -281,15 +286,15 @@
         }
     }
 
-    /// Takes in which versions a peer knows to be wanted: its watch may have heard what this
-    /// agent's has missed.
+    /// Records target versions reported by a peer, whose watch may have received a change that this
+    /// agent's watch missed.
     pub(super) fn record_wanted_notices(&self, wanted: &[WantedNotice]) {
         for one in wanted {
             self.record_wanted(&one.model, one.version, one.age);
         }
     }
 
-    /// Takes in a version that has been wanted for `age`.
+    /// Records a version that became a target `age` ago.
     fn record_wanted(&self, model: &ModelName, version: WeightVersion, age: Duration) {
         let mut wanted = lock(&self.wanted);
         let before = wanted.newest(model);
@@ -304,13 +309,13 @@
         self.wanted_changed.notify_one();
     }
 
-    /// The versions that this agent knows to be wanted, for others.
+    /// Returns the known target versions for notices to peers.
     pub(super) fn wanted_notices(&self) -> Vec<WantedNotice> {
         let time = self.settings.direct.weights_time;
         lock(&self.wanted).notices(self.node.now(), time)
     }
 
-    /// Takes in how many agents are known; the time for which that has not changed.
+    /// Records the number of known agents and returns the time for which it has not changed.
     pub(super) fn steady(&self, count: usize) -> Duration {
         let now = self.node.now();
         let mut known = lock(&self.agent_count);
@@ -320,12 +325,12 @@
         now.since(known.1)
     }
 
-    /// The key of the seat of the agent at `control`.
+    /// Returns the key of the seat of the agent at `control`.
     pub(super) fn seat_key(&self, control: SocketAddr) -> PeerKey {
         *lock(&self.seat_keys).entry(control).or_insert_with(|| seat_key(control))
     }
 
-    /// Changes what is told of the server, and tells it at once if that is news.
+    /// Changes the published state of the server, and sends notices at once if it differs.
     pub(super) fn update_notice(&self, change: impl FnOnce(&mut ServerNotice)) {
         let mut notice = lock(&self.notice);
         let before = notice.clone();
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -1,4 +1,4 @@
-//! Sends and hears an agent's notices.
+//! Sends and receives an agent's notices.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -15,7 +15,7 @@
 };
 use crate::{agent::hub::SwarmHub, node::service::SwarmHost};
 
-/// The notices of one agent.
+/// State of the notice task of one agent.
 struct AgentNotices {
     state: Arc<AgentState>,
     hub: Arc<SwarmHub>,
@@ -24,7 +24,7 @@
     relays: NearRelays,
 }
 
-/// Sends and hears an agent's notices for ever.
+/// Sends and receives an agent's notices until the task is aborted.
 pub(super) async fn run(state: Arc<AgentState>, hub: Arc<SwarmHub>, socket: Arc<UdpSocket>) {
     let node = &state.settings.node;
     let domain = DomainKey::from(&node.domain);
@@ -77,7 +77,7 @@
             }
             Some(Datagram::Bundle(bundle)) => self.handle_bundle(bundle),
             Some(Datagram::Notes(notes)) => {
-                // Notes of a transfer that has not begun here are kept for a while.
+                // The hub buffers notes of a transfer that has not started here yet.
                 let _ = self.hub.take_notes(notes);
             }
             None => {}
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -1,7 +1,9 @@
-//! What an agent needs of the plan: the origin of weights, and the figures of its engine.
+//! The parts of the plan that an agent needs: the origin of weights and the parameters of its
+//! engine.
 //!
-//! It is read beside the agent's work, which never waits for it, and is kept until a newer one is
-//! here: a plan that may be old names the right origin nearly always, none names nothing.
+//! The plan is read by a separate task, so that the stager never waits for it. A plan is kept until
+//! a newer one has been read: an outdated plan nearly always names the right origin, while no plan
+//! names none.
 
 use std::{
     net::SocketAddr,
@@ -27,24 +29,25 @@
 };
 use crate::decisions;
 
-/// Pause between two readings.
+/// Pause between two reads of the plan.
 const PLAN_READ_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Time between two readings of a plan that nobody is known to have replaced.
+/// Minimum time between two reads while no entry is known to have a newer plan.
 const REFRESH_MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause between two looks for a newer plan.
+/// Poll interval while waiting for an entry with a newer plan.
 const NEWER_PLAN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which the store is asked for the plan where no entry is known that has one.
+/// Time after which the plan is read from the store if no entry is known.
 const NO_ENTRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time after which the first agents of a failure domain ask it in any case, the others in turns: entries
-/// that have just started as well have the plan before that. A whole plan may take a megabyte, and there
-/// are dozens of agents a region.
+/// Time after which the first agents of a failure domain read the plan from the store although
+/// entries are known; the others follow staggered by rank. Entries that started at the same time
+/// have the plan earlier than that. A whole plan may take a megabyte, and there are dozens of
+/// agents per region.
 const STORE_FALLBACK_DELAY: Duration = Duration::from_millis(3000);
 
-/// Pause between two entries that are asked.
+/// Pause between two attempts to read the plan from an entry.
 const ENTRY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An agent's copy of the plan.
@@ -59,12 +62,12 @@
         self.plan.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// The origin of weights; none as long as no plan names one.
+    /// Returns the origin of weights, or `None` until a plan names one.
     pub(super) fn origin(&self) -> Option<OriginPlan> {
         self.lock().as_ref()?.origin().cloned()
     }
 
-    /// The figures of the engine of `service`, or of the only one that has any.
+    /// Returns the engine parameters of `service`, or of the first service that has any.
     pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineFigures> {
         let plan = self.lock().clone()?;
         let named = service.and_then(|service| plan.services.get(service));
@@ -73,25 +76,27 @@
         named.or_else(any).cloned()
     }
 
-    /// The first model of the engine of `service`.
+    /// Returns the first model of the engine of `service`.
     pub(super) fn model(&self, service: Option<&str>) -> Option<ModelName> {
         self.engine(service).and_then(|engine| engine.models.first().cloned())
     }
 
-    /// Whether all streams of `service` can be continued elsewhere.
+    /// Whether all streams of `service` can be resumed on another server.
     pub(super) fn may_cut(&self, service: Option<&str>) -> bool {
         let plan = self.lock().clone();
         plan.zip(service).is_some_and(|(plan, service)| plan.may_cut(service))
     }
 
-    /// The origin failed; it may have moved, so that the plan is to be read again.
+    /// Requests a new read of the plan after a failure of the origin, whose address may have
+    /// changed.
     pub(super) fn request_refresh(&self) {
         self.refresh_requested.notify_one();
     }
 
-    /// Reads the plan until it names an origin, and again whenever that is doubted.
+    /// Reads the plan until it names an origin, and again whenever a refresh is requested.
     pub(super) async fn run(self: Arc<Self>, state: Arc<AgentState>, store: Arc<dyn FactStore>) {
-        // An old plan names the same origin nearly always, and costs the store a tenth.
+        // An outdated plan nearly always names the same origin, and costs the store a tenth of a
+        // current one.
         let mut freshness = Freshness::MayBeOld;
         let mut reader =
             FactReader::new(store, FactTopic::Plan, Arc::default(), Arc::new(AlwaysOpen));
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Takes over a plan unless it is older than the one that is kept.
+    /// Replaces the plan if `plan` has a higher version.
     fn replace_if_newer(&self, plan: Arc<TrafficPlan>) {
         let mut kept = self.lock();
         if kept.as_ref().is_some_and(|kept| kept.version >= plan.version) {
@@ -122,8 +127,9 @@
         *kept = Some(plan);
     }
 
-    /// Waits until the plan is doubted, and then until a newer one is known or some time has
-    /// passed: an origin that is merely full or down fails again and again.
+    /// Waits for a refresh request, and then until an entry has a newer plan or
+    /// [`REFRESH_MIN_INTERVAL`] has passed. An origin that is only overloaded or down requests a
+    /// refresh at every failure.
     async fn wait_for_refresh(&self, state: &AgentState) {
         let earliest_refresh = Instant::now() + REFRESH_MIN_INTERVAL;
         self.refresh_requested.notified().await;
@@ -134,7 +140,7 @@
     }
 }
 
-/// The plan from the store, where no entry hands it over.
+/// Reads the plan from the store once the delay for reading it from an entry has passed.
 async fn read_from_store(
     state: &AgentState,
     reader: &mut FactReader,
@@ -158,7 +164,7 @@
     lock(&state.peers).entries(PeerKind::Agent) > 0
 }
 
-/// The plan from an entry.
+/// Reads the plan from an entry, retrying until one succeeds.
 async fn read_from_entries(state: &AgentState) -> Arc<TrafficPlan> {
     let connections = Connections::default();
     loop {
@@ -172,7 +178,7 @@
     }
 }
 
-/// An entry that has a plan newer than `version`, of the own failure domain if there is one.
+/// Returns a random entry with a plan newer than `version`, preferring the own failure domain.
 fn entry_with_newer_plan(state: &AgentState, version: PlanVersion) -> Option<SocketAddr> {
     let peers = lock(&state.peers);
     let near = peers.newer_plans(version, true);
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -1,4 +1,5 @@
-//! The change of one server to other weights: whose turn it is, and how the server is emptied.
+//! Switching one server to another version of its weights: which server may switch next, and how it
+//! is drained before.
 
 use std::{collections::HashMap, sync::atomic::Ordering, time::Duration};
 
@@ -17,10 +18,10 @@
 use super::agent::{AgentState, lock};
 use crate::decisions;
 
-/// How often a server that is being emptied is looked at.
+/// Poll interval while a server is drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Whether this server may change to `version` now, which was named `elapsed` ago.
+/// Whether this server may switch now to `version`, which became the target `elapsed` ago.
 pub(super) fn is_turn(
     state: &AgentState,
     version: WeightVersion,
@@ -52,24 +53,24 @@
     has_turn(rank(own), serves, elapsed, state.settings.direct.weights_time, &others)
 }
 
-/// How much is to be waited for.
+/// Conditions that determine how long a server is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainConditions {
-    /// The server serves something.
+    /// The server serves a complete version.
     pub serves: bool,
-    /// No other server has changed yet or changes now.
+    /// No other server has switched yet or is switching.
     pub is_first: bool,
 }
 
-/// Whether no other server that is known holds `version` or changes now.
+/// Whether no other known server has loaded `version` or a newer one, or is switching.
 pub(super) fn is_first(state: &AgentState, version: WeightVersion) -> bool {
     let peers = lock(&state.peers);
     let mut servers = peers.living().filter_map(|peer| peer.notice.server.as_ref());
     !servers.any(|server| server.changing || server.whole.is_some_and(|whole| whole >= version))
 }
 
-/// Has entries send the server nothing more, and waits until few requests run there and none
-/// waits to begin, or until that has taken too long.
+/// Makes entries stop sending requests to the server, and waits until it has few running and no
+/// queued requests, or until the drain limit has passed.
 pub(super) async fn drain(
     state: &AgentState,
     engine: &dyn EngineStage,
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -1,4 +1,4 @@
-//! Brings one server to the wanted weights, step by step.
+//! Brings one server to the target version of its weights, one step per poll.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -36,75 +36,78 @@
 };
 use crate::decisions;
 
-/// How often the agent looks while there is something to do.
+/// Poll interval while a transfer or a version switch is in progress.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How often it looks at a server that holds what is wanted.
+/// Poll interval once the server has loaded the target version.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How often the progress of a transfer is written down.
+/// Minimum time between two progress log records of a transfer.
 const PROGRESS_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pieces laid into the stage at one look.
+/// Maximum number of pieces written to the stage per poll.
 const PIECES_PER_STEP: usize = 16;
 
-/// Age of a check after which pieces are read back once more before an order: they may rot.
+/// Maximum age of a stage check when the order is sent. After an older check all pieces are
+/// verified again, since staged pieces can become corrupt.
 const CHECK_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// Size of a copy where no manifest has been read yet.
+/// Assumed size of a copy before the first manifest has been read.
 const DEFAULT_COPY_SIZE: ByteSize = ByteSize::from_mib(2);
 
-/// Pieces of a copy where no manifest has been read yet.
+/// Assumed number of pieces in a copy before the first manifest has been read.
 const DEFAULT_PIECE_COUNT: u32 = 96;
 
-/// Version of weights that is wanted where nobody names one.
+/// Target version if neither a peer, the store nor the server names one.
 const DEFAULT_VERSION: WeightVersion = WeightVersion(1);
 
-/// Brings one server to the wanted weights.
+/// Transfers and stages the target version of the weights of one server, and orders the server to
+/// load it.
 pub struct Stager {
     state: Arc<AgentState>,
     dependencies: AgentDependencies,
     transfers: TransferManager,
     plan: Arc<AgentPlan>,
-    /// The version that is laid into the stage.
+    /// Transfer of the version that is being written to the stage.
     transfer: Option<VersionTransfer>,
-    /// The version after it: its pieces come in while the stage is still needed.
+    /// Transfer of the version after it. Its pieces are fetched while the stage still holds the
+    /// current one.
     next_transfer: Option<VersionTransfer>,
     order: Option<GivenOrder>,
     life: EngineLife,
     manifest_failures: u32,
     manifest_retry_at: Moment,
-    /// The version whose manifest is wanted, and since when.
+    /// Version whose manifest is needed, and the time since when.
     manifest_requested: Option<(WeightVersion, Moment)>,
     next_progress_log: Moment,
     rate: TransferRate,
     fence: u64,
 }
 
-/// What is to be reached.
+/// Target state of the server.
 #[derive(Debug, Clone)]
 struct Goal {
     model: ModelName,
     version: WeightVersion,
-    /// Time since it was named.
+    /// Time since the version became the target.
     elapsed: Duration,
     whole: Option<WeightVersion>,
 }
 
-/// When to look again.
+/// When to poll again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum NextPoll {
-    /// The next step can be taken.
+    /// The next step can be taken at once.
     Immediate,
-    /// Something is under way.
+    /// A transfer or a version switch is in progress.
     #[default]
     Busy,
-    /// Nothing is to be done.
+    /// The server has loaded the target version.
     Idle,
 }
 
 impl Stager {
-    /// Nothing known yet.
+    /// Creates a stager without transfers.
     pub(super) fn new(
         state: Arc<AgentState>,
         dependencies: AgentDependencies,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Works for ever.
+    /// Polls until the task is aborted.
     pub async fn run(mut self) {
         loop {
             let pause = match self.poll().await {
@@ -138,12 +141,12 @@
                 NextPoll::Idle => IDLE_POLL_INTERVAL,
             };
             let wakeup = self.state.wanted_changed.notified();
-            // Whether it was woken or time passed, it looks again.
+            // A new target version and the timeout both lead to the next poll.
             let _ = tokio::time::timeout(pause, wakeup).await;
         }
     }
 
-    /// Looks once, and tells when to look again.
+    /// Takes one step and returns when to poll again.
     async fn poll(&mut self) -> NextPoll {
         let report = match self.dependencies.engine.report().await {
             Ok(report) => report,
@@ -164,7 +167,8 @@
             return NextPoll::Busy;
         };
         self.publish_loaded_version(&goal, &report);
-        // A server that holds what is wanted hands its pieces on to those that do not.
+        // Also needed once the server has loaded the target version: this agent then sends pieces
+        // to agents that lack them.
         self.transfers.publish_seats();
         self.ensure_transfer(&goal).await;
         self.ensure_next_transfer(&goal).await;
@@ -175,7 +179,7 @@
         self.step(&goal, &report).await
     }
 
-    /// Forgets the order that was given in an earlier life of the server: it has no effect any more.
+    /// Drops the pending order if the server has restarted, since it does not survive a restart.
     fn detect_restart(&mut self, report: &StageReport) {
         if !self.life.has_restarted(report) {
             return;
@@ -188,14 +192,14 @@
         }
     }
 
-    /// What the server is to hold; none as long as nobody says.
+    /// Returns the target state, or `None` while neither the server nor the plan names a model.
     fn goal(&self, report: &StageReport) -> Option<Goal> {
         let held = report.models.first();
         let model =
             held.map(|held| held.model.clone()).or_else(|| self.plan.model(self.service()))?;
         let layers = self.layers();
         let whole = held.and_then(|held| held.whole_version(layers));
-        // The version that the server names may be newer than any that was heard of.
+        // The server may report a newer version than any known target.
         let named = held.map_or(DEFAULT_VERSION, |held| held.version);
         let running = self.state.node.now().since(Moment::ZERO);
         let fallback = WantedVersion { version: named, elapsed: running };
@@ -204,7 +208,7 @@
         Some(Goal { model, version, elapsed, whole })
     }
 
-    /// The version to bring in next; none if nobody names one.
+    /// Returns the version to load next, or `None` if no target version is known.
     fn next_version(
         &self,
         model: &ModelName,
@@ -228,7 +232,8 @@
         wanted.into_iter().find(|one| one.version == next)
     }
 
-    /// Time until the missing pieces of a version are here, by the pace at which they have come lately.
+    /// Estimates the time until all missing pieces of a version have arrived, from the recent
+    /// transfer rate.
     fn transfer_time(&self, version: WeightVersion) -> Duration {
         let begun = self.transfer.iter().chain(&self.next_transfer);
         let transfer = begun.clone().find(|transfer| transfer.pieces.version == version);
@@ -247,7 +252,7 @@
         })
     }
 
-    /// Takes in how far the transfer under way is.
+    /// Updates the transfer rate from the progress of the current transfer.
     fn record_progress(&mut self) {
         let Some(transfer) = &self.transfer else { return };
         let now = self.state.node.now();
@@ -258,7 +263,7 @@
         self.state.settings.service.as_deref()
     }
 
-    /// Layers of the model, as far as they are known; without them one is taken for a whole model.
+    /// Number of layers of the model. While it is unknown, the model counts as having one layer.
     fn layers(&self) -> u32 {
         let begun = self.transfer.as_ref().map(|transfer| transfer.pieces.layers);
         let planned = self.plan.engine(self.service()).map(|engine| engine.layers);
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Begins to bring in the wanted version, unless that is under way.
+    /// Starts the transfer of the target version unless it is in progress.
     async fn ensure_transfer(&mut self, goal: &Goal) {
         if self.transfer.as_ref().is_some_and(|transfer| transfer.is_for(&goal.model, goal.version))
         {
@@ -313,7 +318,8 @@
         }
     }
 
-    /// Begins to bring in the newest version while another one waits in the stage for its turn.
+    /// Starts the transfer of the newest version while an older one is staged and waits for the
+    /// server's turn to switch.
     async fn ensure_next_transfer(&mut self, goal: &Goal) {
         let Some(newest) = self.state.wanted(&goal.model).last().copied() else { return };
         let newest = newest.version;
@@ -364,7 +370,7 @@
         }
     }
 
-    /// Where the manifest of a version is to be read now.
+    /// Selects the source from which to read the manifest of a version now.
     fn manifest_source(&mut self, version: WeightVersion) -> ManifestSource {
         let now = self.state.node.now();
         let wanted = self.manifest_requested.filter(|(wanted, _)| *wanted == version);
@@ -430,7 +436,7 @@
                 return NextPoll::Busy;
             }
         }
-        // The last piece may just have been laid.
+        // If the last piece was written by this step, the check can follow at once.
         match self.transfer.as_ref().is_some_and(VersionTransfer::is_staged) {
             true => NextPoll::Immediate,
             false => NextPoll::Busy,
@@ -447,7 +453,7 @@
         decisions::note("weights", "progress", fields);
     }
 
-    /// Lays pieces into the stage.
+    /// Writes up to [`PIECES_PER_STEP`] received pieces to the stage.
     async fn stage_pieces(&mut self, held: &[bool]) {
         let Some(transfer) = &mut self.transfer else { return };
         let missing =
@@ -472,7 +478,7 @@
         }
     }
 
-    /// Empties the server, reads every piece back meanwhile, and gives the order.
+    /// Drains the server, verifies all staged pieces in the meantime, and sends the order.
     async fn switch_version(&mut self, goal: &Goal, sequence: OrderSequence) {
         let engine = self.dependencies.engine.clone();
         let conditions = DrainConditions {
@@ -492,7 +498,7 @@
         if self.is_freshly_checked() {
             self.send_order(goal, sequence).await;
         } else {
-            // What is spoilt is laid anew; until then the server goes on.
+            // Corrupt pieces are staged again; the server keeps serving until then.
             self.state.update_notice(|notice| notice.changing = false);
         }
         self.state.draining.store(false, Ordering::Relaxed);
@@ -518,7 +524,8 @@
         self.order = Some(GivenOrder { version: goal.version, given, answer, expected: sequence });
     }
 
-    /// Takes in which pieces were spoilt when they were read back: these are laid anew.
+    /// Records the result of a check. Corrupt pieces are marked as missing, so that they are staged
+    /// again.
     fn record_check(&mut self, check: StageCheck) {
         let Some(transfer) = &mut self.transfer else { return };
         if check.corrupt.is_empty() {
@@ -539,8 +546,8 @@
         transfer.is_staged() && transfer.stage.checked.is_some_and(fresh)
     }
 
-    /// Requests are cut at a change only where all of them can be continued elsewhere: to wait for
-    /// them takes seconds in which the server takes nothing new.
+    /// Cuts running requests at a switch only if all of them can be resumed on another server.
+    /// Waiting for them instead takes seconds in which the server accepts no new requests.
     fn running_requests(&self) -> RunningRequests {
         match self.plan.may_cut(self.service()) {
             true => RunningRequests::Cut,
@@ -549,14 +556,14 @@
     }
 }
 
-/// What came of reading all pieces back.
+/// Result of reading all staged pieces back.
 #[derive(Debug)]
 struct StageCheck {
     begun: Moment,
     corrupt: Vec<usize>,
 }
 
-/// Reads every piece back.
+/// Reads all staged pieces back and compares their digests with the manifest.
 async fn verify_stage(
     engine: &dyn EngineStage,
     transfer: &VersionTransfer,
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers of versions: from the manifest to pieces that lie in this agent's memory.
+//! Transfers of versions, from reading the manifest until all pieces are in this agent's memory.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -30,71 +30,72 @@
     vault::ChunkVault,
 };
 
-/// Pieces looked at before a stage counts as one of another version.
+/// Number of pieces read from the stage before it is taken to hold another version: if none of them
+/// match, the survey stops.
 const SURVEY_SAMPLE: u32 = 3;
 
-/// Transfers that are kept for others after their pieces are here: the one that is served, the one
-/// that is staged, and the next.
+/// Number of transfers retained to serve their pieces to other agents: the version that is served,
+/// the one that is staged, and the next one.
 const MAX_RETAINED_TRANSFERS: usize = 3;
 
-/// Boxes of the own failure domain that hear of every piece: with more, notes take a good part of a narrow
-/// link, and with few a burst takes longer.
+/// Boxes of the own failure domain that are notified of every piece. More of them use a large part
+/// of a narrow link for notes; fewer lengthen a burst.
 const MAX_NEIGHBOURS: usize = 16;
 
-/// Requests for pieces that may wait here.
+/// Maximum number of piece requests queued per transfer.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
-/// A version that is being brought in.
+/// Transfer of one version.
 #[derive(Debug)]
 pub struct VersionTransfer {
-    /// Its pieces.
+    /// Manifest of the pieces, as the origin or a peer provides it.
     pub pieces: PieceManifest,
-    /// The same as chunks of a burst.
+    /// The same manifest in terms of chunks of the burst.
     pub manifest: Arc<Manifest>,
-    /// The transfer.
+    /// The swarm that fetches and serves the pieces.
     pub swarm: SwarmHandle,
-    /// What is known of the stage.
+    /// Known content of the stage.
     pub stage: StageState,
-    /// When it began.
+    /// Start time.
     pub since: Moment,
 }
 
 impl VersionTransfer {
-    /// Whether it brings in this version of this model.
+    /// Whether this is the transfer of `version` of `model`.
     pub fn is_for(&self, model: &ModelName, version: WeightVersion) -> bool {
         self.pieces.version == version && self.pieces.model == *model
     }
 
-    /// Whether every piece has been laid into the stage.
+    /// Whether all pieces have been written to the stage.
     pub fn is_staged(&self) -> bool {
         self.stage.placed.iter().all(|placed| *placed)
     }
 }
 
-/// What every transfer of this box shares.
+/// Resources shared by all transfers of this box.
 #[derive(Debug, Clone)]
 pub struct TransferResources {
-    /// Pieces that are here.
+    /// Pieces in memory.
     pub vault: Arc<ChunkVault>,
-    /// This machine's link inwards.
+    /// Pacer of this box's inbound link.
     pub down: Arc<LinkPacer>,
-    /// Carries notes to other boxes.
+    /// Sends notes to other boxes.
     pub carrier: Arc<dyn NoteCarrier>,
 }
 
-/// Begins transfers, and keeps those that others may still need.
+/// Starts transfers and retains those whose pieces other agents may still request.
 pub struct TransferManager {
     state: Arc<AgentState>,
     dependencies: AgentDependencies,
     hub: Arc<SwarmHub>,
     resources: TransferResources,
     retained: Vec<Digest>,
-    /// Who was last told to take part.
+    /// Seats last published to the transfers.
     published_seats: Vec<(PeerLocation, SocketAddr)>,
 }
 
 impl TransferManager {
-    /// No transfer yet.
+    /// Creates a manager without transfers.
     pub(super) fn new(
         state: Arc<AgentState>,
         dependencies: AgentDependencies,
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Tells every transfer who takes part, where that has changed: those that hold everything must
-    /// hear of newcomers as well, to offer what they hold.
+    /// Publishes the current seats to all transfers if they have changed. Complete transfers need
+    /// them too, in order to offer their pieces to new agents.
     pub fn publish_seats(&mut self) {
         let seats = seats::seats(&self.state);
         if seats == self.published_seats {
@@ -124,19 +125,19 @@
         self.published_seats = seats;
     }
 
-    /// The bytes of a piece, if it is here.
+    /// Returns the bytes of a piece if it is in memory.
     pub fn piece(&self, transfer: &VersionTransfer, piece: usize) -> Option<Bytes> {
         let place = transfer.manifest.chunks().get(piece)?;
         self.resources.vault.get(&place.digest)
     }
 
-    /// Which pieces are here.
+    /// Returns for each piece whether it is in memory.
     pub fn held(&self, transfer: &VersionTransfer) -> Vec<bool> {
         let places = transfer.manifest.chunks().iter();
         places.map(|place| self.resources.vault.get(&place.digest).is_some()).collect()
     }
 
-    /// Reads the manifest of a version from `source`; none if it is to be read later.
+    /// Reads the manifest of a version from `source`. Returns `None` if it is to be read later.
     pub async fn manifest(
         &self,
         source: ManifestSource,
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Begins to bring in a version; `is_next` tells that the stage holds another one that is
-    /// needed, so that nothing of this version lies there.
+    /// Starts the transfer of a version. With `is_next`, the stage holds another version that is
+    /// still needed, so it is not surveyed for pieces of this one.
     pub async fn begin(
         &mut self,
         origin: &OriginPlan,
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Looks which pieces of a version lie in the stage already.
+    /// Determines which pieces of a version are already in the stage.
     async fn survey(&self, pieces: &PieceManifest, manifest: &Manifest) -> StageState {
         let count = pieces.digests.len() as u32;
         let mut placed = vec![false; count as usize];
@@ -252,7 +253,8 @@
         StageState { version: Some(pieces.version), placed, checked: None, surveyed: true }
     }
 
-    /// Whether a piece lies in the stage unspoilt; if so, it is here for others as well.
+    /// Whether an intact copy of a piece is in the stage. If so, it is also put into memory, from
+    /// where it is served to other agents.
     async fn is_staged(&self, pieces: &PieceManifest, manifest: &Manifest, piece: u32) -> bool {
         let Some(place) = manifest.chunk(ChunkIndex(piece)) else { return false };
         match self.dependencies.engine.get(&pieces.model, piece).await {
--- a/crates/daemon/src/direct/weights.rs
+++ b/crates/daemon/src/direct/weights.rs
@@ -1,4 +1,4 @@
-//! Pieces of weights as chunks of the burst.
+//! Maps pieces of weights to chunks of the burst.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,18 +16,18 @@
 
 use crate::{agent::fetch::ChunkReader, node::channels::ChannelCache};
 
-/// Reads pieces from the origin over this machine's link.
+/// Reads pieces from the origin over this box's link.
 #[derive(Debug)]
 pub struct PieceReader {
-    /// The origin.
+    /// Origin of the pieces.
     pub origin: Arc<dyn PieceOrigin>,
-    /// Its address.
+    /// Address of the origin.
     pub address: SocketAddr,
-    /// The model.
+    /// Model that the pieces belong to.
     pub model: ModelName,
-    /// The version.
+    /// Version that the pieces belong to.
     pub version: WeightVersion,
-    /// This machine's link inwards.
+    /// Pacer of this box's inbound link.
     pub down: Arc<LinkPacer>,
 }
 
@@ -54,16 +54,16 @@
     }
 }
 
-/// Time for a peer to hand over a manifest: a few round trips, over a link on which some hundred
-/// kilobytes of pieces may be waiting.
+/// Timeout for reading a manifest from a peer. It allows for a few round trips over a link on which
+/// some hundred kilobytes of pieces may be queued.
 const PEER_MANIFEST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The name of a version's pieces among transfers.
+/// Name of the transfer of a version.
 pub fn transfer_name(model: &ModelName, version: WeightVersion) -> String {
     format!("{model}@{version}")
 }
 
-/// A manifest as it is handed to other agents.
+/// Encodes a manifest for other agents.
 pub fn encode_manifest(pieces: &PieceManifest) -> Bytes {
     let digests: Vec<u8> = pieces.digests.iter().flat_map(|digest| digest.0).collect();
     let list = PieceList {
@@ -75,7 +75,8 @@
     list.encode_to_vec().into()
 }
 
-/// A manifest from another agent's bytes; none if they are not that of `version`.
+/// Decodes a manifest from another agent. Returns `None` if it is malformed or belongs to another
+/// version.
 pub fn decode_manifest(
     text: &[u8],
     model: &ModelName,
@@ -93,7 +94,7 @@
     })
 }
 
-/// Asks another agent for the manifest of a version.
+/// Reads the manifest of a version from another agent.
 pub async fn manifest_from_peer(
     channels: &ChannelCache,
     address: SocketAddr,
@@ -104,15 +105,21 @@
         FetchManifestRequest { manifest: Bytes::new(), name: transfer_name(model, version) };
     let mut client = channels.node(address);
     let asked = tokio::time::timeout(PEER_MANIFEST_TIMEOUT, client.fetch_manifest(request)).await;
-    let reply = asked.map_err(|_| StageFailure::Unreachable(format!("{address}: too slow")))?;
+    let reply = asked.map_err(|_| {
+        StageFailure::Unreachable(format!(
+            "{address}: no manifest within {PEER_MANIFEST_TIMEOUT:?}"
+        ))
+    })?;
     let reply =
         reply.map_err(|status| StageFailure::Unreachable(format!("{address}: {status}")))?;
     let text = reply.into_inner().text.ok_or(StageFailure::Absent)?;
-    let invalid = || StageFailure::Unreachable(format!("{address}: no manifest of {version}"));
+    let invalid = || {
+        StageFailure::Unreachable(format!("{address}: reply is not a valid manifest of {version}"))
+    };
     decode_manifest(&text, model, version).ok_or_else(invalid)
 }
 
-/// The burst's manifest of a version's pieces.
+/// Builds the burst manifest of a version's pieces.
 pub fn burst_manifest(pieces: &PieceManifest) -> Manifest {
     let digests = pieces.digests.iter().map(|digest| Digest::from(digest.0)).collect();
     let name = transfer_name(&pieces.model, pieces.version);
--- a/crates/daemon/tests/direct_agent.rs
+++ b/crates/daemon/tests/direct_agent.rs
@@ -1,4 +1,5 @@
-//! A direct agent beside a scripted engine: what it stages, checks and orders.
+//! Tests of a direct agent with a scripted engine: which pieces it stages and verifies, and which
+//! orders it sends.
 
 use std::{
     collections::BTreeMap,
@@ -42,7 +43,7 @@
 const LAYERS: u32 = 4;
 
 fn model() -> ModelName {
-    "m".parse().expect("a name")
+    "m".parse().expect("valid model name")
 }
 
 fn piece(version: WeightVersion, number: u32) -> Bytes {
@@ -50,10 +51,10 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no test panics with it")
+    mutex.lock().expect("mutex is not poisoned")
 }
 
-/// An engine that takes what lies in its stage as an order comes.
+/// An engine that loads the content of its stage as soon as it receives an order.
 #[derive(Debug, Default)]
 struct TestEngine {
     state: Mutex<EngineState>,
@@ -65,15 +66,15 @@
     holds: Option<WeightVersion>,
     sequence: u64,
     orders: Vec<StartOrder>,
-    /// Pieces that turn bad as soon as they lie in the stage.
+    /// Pieces that are corrupted when written to the stage, once per entry.
     corrupt_on_put: Vec<u32>,
-    /// Orders whose answers are lost.
+    /// Number of orders whose answers are lost.
     lost_answers: u32,
-    /// Requests that run.
+    /// Running requests.
     active: u32,
-    /// When it was started, if it tells that.
+    /// Start time of the engine, if it reports one.
     born: Option<BirthTime>,
-    /// An order was taken with a stage that was not whole and right.
+    /// Whether an order was accepted while the stage was incomplete or corrupt.
     accepted_invalid_stage: bool,
 }
 
@@ -145,13 +146,13 @@
     }
 }
 
-/// An origin some of whose answers are spoilt or refused.
+/// An origin that returns corrupt pieces or refuses requests as scripted.
 #[derive(Debug, Default)]
 struct TestOrigin {
     corrupt: Mutex<Vec<u32>>,
     refusals: Mutex<u32>,
     piece_requests: Mutex<u32>,
-    /// Manifests that are not handed out.
+    /// Number of manifest requests that fail.
     failed_manifests: Mutex<u32>,
 }
 
@@ -206,7 +207,8 @@
 struct TestStore {
     wanted: Mutex<Option<WeightVersion>>,
     changed: tokio::sync::Notify,
-    /// Lists of the plan that are answered; later ones are met with silence. None for all.
+    /// Number of list calls for the plan that are answered; later ones get no answer. `None`
+    /// answers all.
     answered_plans: Option<u32>,
     plans: Mutex<u32>,
 }
@@ -259,7 +261,7 @@
 fn plan() -> TrafficPlan {
     let engine = EngineFigures { layers: LAYERS, models: vec![model()], ..Default::default() };
     let origin = OriginPlan {
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         bytes_per_second: 10_000_000,
         max_connections: 8,
     };
@@ -300,9 +302,9 @@
         });
         let mut settings = match DaemonSettings::parse(&text.to_string()) {
             Ok(DaemonSettings::DirectAgent(settings)) => *settings,
-            other => panic!("these are settings of a direct agent, not {other:?}"),
+            other => panic!("expected settings of a direct agent, got {other:?}"),
         };
-        // The settings' seeds share this agent's port, which is any free one here.
+        // Seeds in the settings get the agent's own port, which is an arbitrary free port here.
         settings.direct.seeds = seeds.to_vec();
         let (engine, origin) = (Arc::new(engine), Arc::new(origin));
         let store = Arc::new(store);
@@ -312,7 +314,7 @@
             origin: origin.clone(),
         };
         let agent = DirectAgent::start(settings, Arc::new(SystemTimer::default()), outside).await;
-        Self { engine, origin, store, _agent: agent.expect("it starts") }
+        Self { engine, origin, store, _agent: agent.expect("agent starts") }
     }
 
     async fn wait_until_loaded(&self, version: u64) {
@@ -341,7 +343,7 @@
     expect_that!(fences.is_sorted_by(|a, b| a < b), eq(true));
 }
 
-/// Time in which an agent with all it needs has long done its work.
+/// Generous upper bound for an agent to load a version when nothing blocks it.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[gtest]
@@ -352,7 +354,11 @@
     let store = TestStore { answered_plans: Some(1), ..TestStore::default() };
     let fixture = Fixture::with_store(TestEngine::default(), origin, store, &[]).await;
     let held = tokio::time::timeout(LOAD_TIMEOUT, fixture.wait_until_loaded(1)).await;
-    expect_that!(held.is_ok(), eq(true), "the plan that was read still names the origin");
+    expect_that!(
+        held.is_ok(),
+        eq(true),
+        "version 1 is not loaded although the plan read before names the origin"
+    );
 }
 
 #[gtest]
@@ -403,19 +409,19 @@
     expect_that!(state.accepted_invalid_stage, eq(false));
 }
 
-/// Notices about a change that an entry hears while its request waits.
+/// Number of notices announcing a version switch that the entry receives before it goes silent.
 const OBSERVED_NOTICES: u32 = 3;
 
-/// An entry that has requests at a server about to change, until it has heard of the change a few
-/// times.
+/// Acts as an entry with requests at the server, until it has received more than
+/// [`OBSERVED_NOTICES`] notices that announce a switch.
 async fn report_drain_until_changing(socket: tokio::net::UdpSocket, held: DrainReport) {
     let mut buffer = vec![0; 8 << 10];
-    let own = socket.local_addr().expect("it is bound");
+    let own = socket.local_addr().expect("socket is bound");
     let mut changing = 0;
     for sequence in 1.. {
-        let (length, agent) = socket.recv_from(&mut buffer).await.expect("it is bound");
+        let (length, agent) = socket.recv_from(&mut buffer).await.expect("receive a notice");
         let server = decode(&buffer[..length]).and_then(|notice| notice.server);
-        let server = server.expect("an agent tells of its server");
+        let server = server.expect("notice of an agent contains its server");
         changing += u32::from(server.changing);
         if changing > OBSERVED_NOTICES {
             return;
@@ -426,7 +432,7 @@
             drains: vec![DrainNotice { server: server.address, waiting, unresumable }],
             ..PeerNotice::empty(own, PeerKind::Entry, DomainKey(1))
         };
-        socket.send_to(&encode(&notice), agent).await.expect("it is bound");
+        socket.send_to(&encode(&notice), agent).await.expect("send a notice");
     }
 }
 
@@ -446,23 +452,23 @@
     let engine = TestEngine::default();
     lock(&engine.state).holds = Some(WeightVersion(1));
     lock(&engine.state).active = held.unresumable;
-    let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("a port is free");
-    let seeds = [socket.local_addr().expect("it is bound")];
+    let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let seeds = [socket.local_addr().expect("socket is bound")];
     let fixture = Fixture::with_seeds(engine, TestOrigin::default(), &seeds).await;
     let entry = tokio::spawn(report_drain_until_changing(socket, held));
     let orders = || lock(&fixture.engine.state).orders.len();
     while !entry.is_finished() && orders() == 0 {
-        // Once more, as the watch may not have begun.
+        // Repeated because the watch may not have started yet.
         fixture.set_target_version(2);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     expect_that!(orders(), eq(0));
-    // The entry is silent from now on, and counts as gone in the end.
+    // The entry is silent from now on and is eventually considered gone, so that the order is sent.
     fixture.wait_until_loaded(2).await;
 }
 
-/// The order before a restart says nothing of the life after it: to wait for its effect cost a server
-/// that came back with nothing loaded two seconds.
+/// Guards against waiting for the effect of an order sent before a restart of the server, which
+/// delayed loading the empty server by two seconds.
 #[gtest]
 #[tokio::test]
 async fn a_server_restarted_under_its_id_is_loaded_without_delay() {
--- a/crates/daemon/tests/lost_watches.rs
+++ b/crates/daemon/tests/lost_watches.rs
@@ -1,6 +1,6 @@
-//! Watches that nobody answers any more: sent to a store that was silent at that moment, or on a
-//! connection that has gone silent for good. Nothing else tells of them where no process has a
-//! watch that works. All of it in virtual time.
+//! Tests of watches that are never answered: the call was sent while the store did not answer, or
+//! on a connection that stopped delivering data without a reset. If no process has a working watch,
+//! nothing else reveals the loss. All tests run in virtual time.
 
 use std::{
     ops::Range,
@@ -25,42 +25,44 @@
 use headlatch_types::traffic::{WantedWeights, WeightVersion};
 use tokio::time::Instant;
 
-/// Time after which the platform's client gives a call up, beside the time that it waits.
+/// Time after which the platform's client abandons a call, in addition to the wait time of the
+/// call.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for an answer.
+/// Time that the store takes to answer.
 const ANSWER_LATENCY: Duration = Duration::from_millis(4);
 
-/// Time from a change to its being known at an entry that reads the store: two seconds are allowed
-/// everywhere, and half a second takes it to other entries.
+/// Maximum time from a change until an entry that reads the store knows it. Two seconds are allowed
+/// for all entries, half a second of which is for passing it on to the others.
 const MAX_PROPAGATION: Duration = Duration::from_millis(1500);
 
-/// Time after a trouble from which changes are due in time again.
+/// Time after a fault from which changes must propagate in time again.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// What becomes of a call.
+/// Outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallOutcome {
     Answered,
-    /// It is met with silence until the caller gives it up.
+    /// The call gets no answer until the caller abandons it.
     Lost,
 }
 
-/// A store with troubles. Revision N is that of the Nth change.
+/// A store with injected faults. The Nth change has revision N.
 #[derive(Debug)]
 struct FaultyStore {
-    /// Calls that begin in here are lost; what was begun before is answered afterwards.
+    /// Calls that start in this range are lost; answers to earlier calls that fall into it are
+    /// delayed until its end.
     silent: Range<Instant>,
-    /// Calls under way at this moment are lost, later ones are not.
+    /// Calls in progress at this time are lost; later ones are not.
     connections_lost: Option<Instant>,
-    /// When something changes.
+    /// Times of the changes.
     changes: Vec<Instant>,
     lists: AtomicU32,
     watches: AtomicU32,
 }
 
 impl FaultyStore {
-    /// A store without troubles.
+    /// Creates a store without faults.
     fn healthy(changes: Vec<Instant>) -> Self {
         let now = Instant::now();
         let (lists, watches) = (AtomicU32::default(), AtomicU32::default());
@@ -72,7 +74,8 @@
         self.changes.iter().filter(|at| **at <= now).count() as u64
     }
 
-    /// Waits as long as a call takes that has an answer at `ready`, and tells what becomes of it.
+    /// Waits for the duration of a call whose answer is available at `ready`, and returns its
+    /// outcome.
     async fn answer_at(&self, started: Instant, ready: Instant) -> CallOutcome {
         if self.silent.contains(&started) {
             return CallOutcome::Lost;
@@ -87,7 +90,7 @@
     }
 }
 
-/// Lets the caller wait until it gives the call up, which began at `begun` and may wait for `wait`.
+/// Waits until the caller abandons a call that started at `started` with the wait time `wait`.
 async fn client_timeout(started: Instant, wait: Duration) -> StoreFailure {
     tokio::time::sleep_until(started + wait + CLIENT_TIMEOUT).await;
     StoreFailure::Unreachable("no answer in time".to_owned())
@@ -95,7 +98,7 @@
 
 fn fact(revision: u64) -> NamedFact {
     let wanted = WantedWeights {
-        model: "m".parse().expect("a model's name"),
+        model: "m".parse().expect("valid model name"),
         version: WeightVersion(revision),
     };
     NamedFact {
@@ -146,34 +149,34 @@
     }
 }
 
-/// How long a process that does not know a change is waited for.
+/// Time after the last change for which a process is observed.
 const OBSERVATION_TIME: Duration = Duration::from_secs(40);
 
-/// Time from the last change of `store` to its being known to a process that follows it; none if it
-/// does not become known.
+/// Returns the time from the last change of `store` until a process that follows the store knows
+/// it, or `None` if it does not learn it within [`OBSERVATION_TIME`].
 async fn propagation_time(
     store: FaultyStore,
     topic: FactTopic,
     gate: Arc<dyn ReadGate>,
 ) -> Option<Duration> {
-    let last = *store.changes.last().expect("a change");
+    let last = *store.changes.last().expect("store has at least one change");
     let wanted = ChangeMark(store.changes.len() as u64);
     let known: Arc<Mutex<Option<Instant>>> = Arc::default();
     let observed = known.clone();
     let take = move |news: FactNews| {
         if news.covered() >= wanted {
-            observed.lock().expect("no panic").get_or_insert(Instant::now());
+            observed.lock().expect("mutex is not poisoned").get_or_insert(Instant::now());
         }
     };
     let following = tokio::spawn(follow(Arc::new(store), topic, Arc::default(), gate, take));
     tokio::time::sleep_until(last + OBSERVATION_TIME).await;
     following.abort();
-    let known = *known.lock().expect("no panic");
+    let known = *known.lock().expect("mutex is not poisoned");
     known.map(|at| at - last)
 }
 
-/// A change, a silence that begins `gap` later and lasts for `silence`, and another change as soon
-/// after it as changes are due in time again.
+/// A store with one change, an outage that starts `gap` later and lasts for `silence`, and a second
+/// change [`RECOVERY_TIME`] after the outage.
 fn store_silent_after_a_change(gap: Duration, silence: Duration) -> FaultyStore {
     let first = Instant::now() + Duration::from_millis(5000);
     let silent = first + gap..first + gap + silence;
@@ -181,8 +184,9 @@
     FaultyStore { silent, ..FaultyStore::healthy(vec![first, second]) }
 }
 
-/// All readers rest after the same change, and send their next watches in step: a silence that
-/// begins meanwhile takes all of them.
+/// Guards against missing a change because the watches of all readers are lost at once. All readers
+/// pause after the same change and then send their next watches simultaneously, so that an outage
+/// that starts during the pause affects all of them.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_change_after_a_store_outage_that_lost_the_watch_propagates_in_time() {
@@ -195,14 +199,15 @@
             expect_that!(
                 took,
                 some(le(MAX_PROPAGATION)),
-                "{topic:?}, {gap:?} before a silence of {silence:?}"
+                "{topic:?}, {gap:?} before an outage of {silence:?}"
             );
         }
     }
 }
 
-/// Connections may go silent for good without a reset, while new ones work; changes are due in time
-/// again three seconds later, so that one made a second after it must be known then.
+/// Guards against waiting on a connection that stopped delivering data without a reset, while new
+/// connections work. Changes must propagate in time again three seconds later, so that a change
+/// made one second after the loss must be known by then.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_change_after_the_watch_connection_is_lost_propagates_in_time() {
@@ -217,14 +222,14 @@
             expect_that!(
                 took,
                 some(le(MAX_PROPAGATION)),
-                "{topic:?}, silent {} ms after a change",
+                "{topic:?}, connection lost {} ms after a change",
                 hundredths * 10
             );
         }
     }
 }
 
-/// An open gate whose process stands by until it is told to watch.
+/// An open gate whose process stands by until `watches` is set.
 #[derive(Debug, Default)]
 struct StandbyGate {
     watches: AtomicBool,
@@ -245,8 +250,8 @@
     }
 }
 
-/// The watch of a process that stands by may be lost for long; it ends when the process that
-/// watched is gone.
+/// The watch of a standby process may have been lost long ago. Guards against keeping it when the
+/// standby takes over from a process that is gone.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_standby_that_takes_over_abandons_its_old_watch() {
@@ -267,8 +272,8 @@
     }
 }
 
-/// A watch that brought nothing is followed by the next one at once: whenever a change is made, it
-/// is known as soon as the store answers.
+/// Guards against pauses after a watch that returned no changes: the next watch must start at once,
+/// so that a change is known as soon as the store answers, whenever it is made.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_change_at_a_healthy_store_propagates_without_delay() {
@@ -281,7 +286,7 @@
     }
 }
 
-/// Calls to a calm store in a minute.
+/// Returns the numbers of list and watch calls to a healthy store within a minute.
 async fn calls_in_a_minute(topic: FactTopic, gate: Arc<dyn ReadGate>) -> (u32, u32) {
     let store = Arc::new(FaultyStore::healthy(Vec::new()));
     let following =
@@ -291,7 +296,8 @@
     (store.lists.load(Ordering::Relaxed), store.watches.load(Ordering::Relaxed))
 }
 
-/// Each call is priced: a calm store is asked as rarely as the bounds allow.
+/// Guards against needless calls, each of which is charged for: a healthy store is called as rarely
+/// as the time limits allow.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_healthy_store_is_called_rarely() {
@@ -301,7 +307,7 @@
         expect_that!(lists, eq(1), "{topic:?}");
         expect_that!(watches, le(most), "{topic:?}");
         let (lists, watches) = calls_in_a_minute(topic, Arc::new(StandbyGate::default())).await;
-        expect_that!(lists, eq(1), "{topic:?}, standing by");
-        expect_that!(watches, le(3), "{topic:?}, standing by");
+        expect_that!(lists, eq(1), "{topic:?}, standby");
+        expect_that!(watches, le(3), "{topic:?}, standby");
     }
 }
--- a/crates/daemon/tests/support/agent.rs
+++ b/crates/daemon/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! An agent that tells an entry of its server.
+//! A simulated agent that sends an entry notices about its server.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,34 +6,35 @@
 use headlatch_daemon::direct::{entry_notices, notices, state::EntryState};
 use tokio::net::UdpSocket;
 
-/// The agent of `server` says that the server is about to change; what the entry answers.
+/// Announces to the entry that `server` is about to switch versions, and returns the drain notices
+/// with which the entry answers.
 pub async fn drain_notices_for_change(
     state: &Arc<EntryState>,
     server: SocketAddr,
 ) -> Vec<DrainNotice> {
     let bind = || UdpSocket::bind("127.0.0.1:0");
-    let (own, agent) = (bind().await.expect("a port"), bind().await.expect("a port"));
-    let entry = own.local_addr().expect("it is bound");
+    let (own, agent) = (bind().await.expect("free port"), bind().await.expect("free port"));
+    let entry = own.local_addr().expect("socket is bound");
     tokio::spawn(entry_notices::run(state.clone(), own.into()));
-    let sender = agent.local_addr().expect("it is bound");
+    let sender = agent.local_addr().expect("socket is bound");
     let changing = ServerNotice {
         address: server,
         whole: None,
         changing: true,
         staged: None,
         sharing: None,
-        zone: "z1".parse().expect("a name"),
+        zone: "z1".parse().expect("valid zone name"),
         service: "s".to_owned(),
     };
     let notice = PeerNotice {
         server: Some(changing),
         ..PeerNotice::empty(sender, PeerKind::Agent, DomainKey(1))
     };
-    agent.send_to(&notices::encode(&notice), entry).await.expect("it is bound");
+    agent.send_to(&notices::encode(&notice), entry).await.expect("send a notice");
     let mut buffer = vec![0; notices::MOST_DATAGRAM];
     loop {
-        let (length, _) = agent.recv_from(&mut buffer).await.expect("it is bound");
-        let answer = notices::decode(&buffer[..length]).expect("a notice");
+        let (length, _) = agent.recv_from(&mut buffer).await.expect("receive a notice");
+        let answer = notices::decode(&buffer[..length]).expect("valid notice");
         if !answer.drains.is_empty() {
             return answer.drains;
         }
