--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -289,8 +289,8 @@
     /// Records target versions reported by a peer, whose watch may have received a change that this
     /// agent's watch missed.
     pub(super) fn record_wanted_notices(&self, wanted: &[WantedNotice]) {
-        for one in wanted {
-            self.record_wanted(&one.model, one.version, one.age);
+        for notice in wanted {
+            self.record_wanted(&notice.model, notice.version, notice.age);
         }
     }
 
--- a/crates/daemon/src/direct/change.rs
+++ b/crates/daemon/src/direct/change.rs
@@ -82,12 +82,12 @@
     }
     state.draining.store(true, Ordering::Relaxed);
     lock(&state.peers).clear_drain_sums();
-    let begun = state.node.now();
+    let started = state.node.now();
     loop {
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         let report = engine.report().await.ok();
         let view = DrainView {
-            waited: state.node.now().since(begun),
+            waited: state.node.now().since(started),
             is_first: conditions.is_first,
             requests: report
                 .map(|report| QueueReport { queued: report.queued, active: report.active }),
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -91,7 +91,7 @@
     version: WeightVersion,
     /// Time since the version became the target.
     elapsed: Duration,
-    whole: Option<WeightVersion>,
+    loaded: Option<WeightVersion>,
 }
 
 /// When to poll again.
@@ -172,7 +172,7 @@
         self.transfers.publish_seats();
         self.ensure_transfer(&goal).await;
         self.ensure_next_transfer(&goal).await;
-        if goal.whole.is_some_and(|whole| whole >= goal.version) {
+        if goal.loaded.is_some_and(|loaded| loaded >= goal.version) {
             self.record_completion(&goal);
             return NextPoll::Idle;
         }
@@ -198,46 +198,46 @@
         let model =
             held.map(|held| held.model.clone()).or_else(|| self.plan.model(self.service()))?;
         let layers = self.layers();
-        let whole = held.and_then(|held| held.whole_version(layers));
+        let loaded = held.and_then(|held| held.whole_version(layers));
         // The server may report a newer version than any known target.
         let named = held.map_or(DEFAULT_VERSION, |held| held.version);
         let running = self.state.node.now().since(Moment::ZERO);
         let fallback = WantedVersion { version: named, elapsed: running };
         let WantedVersion { version, elapsed } =
-            self.next_version(&model, whole).unwrap_or(fallback);
-        Some(Goal { model, version, elapsed, whole })
+            self.next_version(&model, loaded).unwrap_or(fallback);
+        Some(Goal { model, version, elapsed, loaded })
     }
 
     /// Returns the version to load next, or `None` if no target version is known.
     fn next_version(
         &self,
         model: &ModelName,
-        whole: Option<WeightVersion>,
+        loaded: Option<WeightVersion>,
     ) -> Option<WantedVersion> {
         let now = self.state.node.now();
         let wanted = self.state.wanted(model);
-        let begun = self.order.filter(|order| order.answer == Some(OrderAnswer::Begun));
-        let reached = whole.max(begun.map(|order| order.version));
+        let accepted = self.order.filter(|order| order.answer == Some(OrderAnswer::Begun));
+        let reached = loaded.max(accepted.map(|order| order.version));
         let time = self.state.settings.direct.weights_time;
-        let missing = wanted.iter().filter(|one| reached.is_none_or(|at| one.version > at));
+        let missing = wanted.iter().filter(|target| reached.is_none_or(|at| target.version > at));
         let choices: Vec<VersionChoice> = missing
-            .map(|one| VersionChoice {
-                version: one.version,
-                due: now + dispatch_time(time) - one.elapsed,
-                transfer: self.transfer_time(one.version),
+            .map(|target| VersionChoice {
+                version: target.version,
+                due: now + dispatch_time(time) - target.elapsed,
+                transfer: self.transfer_time(target.version),
             })
             .collect();
         let next = next_version(now, &choices);
-        let next = next.or_else(|| wanted.last().map(|one| one.version))?;
-        wanted.into_iter().find(|one| one.version == next)
+        let next = next.or_else(|| wanted.last().map(|target| target.version))?;
+        wanted.into_iter().find(|target| target.version == next)
     }
 
     /// Estimates the time until all missing pieces of a version have arrived, from the recent
     /// transfer rate.
     fn transfer_time(&self, version: WeightVersion) -> Duration {
-        let begun = self.transfer.iter().chain(&self.next_transfer);
-        let transfer = begun.clone().find(|transfer| transfer.pieces.version == version);
-        let latest = begun.last();
+        let transfers = self.transfer.iter().chain(&self.next_transfer);
+        let transfer = transfers.clone().find(|transfer| transfer.pieces.version == version);
+        let latest = transfers.last();
         let copy = latest.map_or(DEFAULT_COPY_SIZE, |transfer| transfer.manifest.total());
         let pieces = latest
             .map_or(DEFAULT_PIECE_COUNT, |transfer| transfer.pieces.digests.len().max(1) as u32);
@@ -265,26 +265,26 @@
 
     /// Number of layers of the model. While it is unknown, the model counts as having one layer.
     fn layers(&self) -> u32 {
-        let begun = self.transfer.as_ref().map(|transfer| transfer.pieces.layers);
+        let current = self.transfer.as_ref().map(|transfer| transfer.pieces.layers);
         let planned = self.plan.engine(self.service()).map(|engine| engine.layers);
-        begun.or(planned).unwrap_or(0).max(1)
+        current.or(planned).unwrap_or(0).max(1)
     }
 
     fn publish_loaded_version(&self, goal: &Goal, report: &StageReport) {
         let before = lock(&self.state.notice).whole;
-        if before != goal.whole {
+        if before != goal.loaded {
             let fields = json!({
-                "model": goal.model, "whole": goal.whole, "before": before,
+                "model": goal.model, "whole": goal.loaded, "before": before,
                 "sequence": report.sequence.0,
             });
             decisions::note("engine", "holds", fields);
         }
         let order_open = self.order.is_some_and(|order| {
             order.answer == Some(OrderAnswer::Begun)
-                && goal.whole.is_none_or(|whole| whole < order.version)
+                && goal.loaded.is_none_or(|loaded| loaded < order.version)
         });
         self.state.update_notice(|notice| {
-            notice.whole = goal.whole;
+            notice.whole = goal.loaded;
             notice.changing = report.busy || order_open;
         });
     }
@@ -324,11 +324,11 @@
         let Some(newest) = self.state.wanted(&goal.model).last().copied() else { return };
         let newest = newest.version;
         let is_staged = self.transfer.as_ref().is_some_and(VersionTransfer::is_staged);
-        let is_begun = self
+        let is_started = self
             .next_transfer
             .as_ref()
             .is_some_and(|transfer| transfer.is_for(&goal.model, newest));
-        if newest <= goal.version || !is_staged || is_begun {
+        if newest <= goal.version || !is_staged || is_started {
             return;
         }
         self.next_transfer = self.start_transfer(&goal.model, newest, true).await;
@@ -400,7 +400,7 @@
     }
 
     async fn step(&mut self, goal: &Goal, report: &StageReport) -> NextPoll {
-        let serves = goal.whole.is_some();
+        let serves = goal.loaded.is_some();
         let turn = change::is_turn(&self.state, goal.version, goal.elapsed, serves);
         let Some(transfer) = &self.transfer else { return NextPoll::Busy };
         if transfer.pieces.version != goal.version {
@@ -418,7 +418,7 @@
             wanted: goal.version,
             layers: transfer.pieces.layers,
             report,
-            whole: goal.whole,
+            whole: goal.loaded,
             stage: &transfer.stage,
             held: &held,
             order: self.order,
@@ -471,7 +471,7 @@
         }
         if transfer.is_staged() {
             let version = transfer.pieces.version;
-            let after = self.state.node.now().since(transfer.since).as_millis() as u64;
+            let after = self.state.node.now().since(transfer.started).as_millis() as u64;
             let fields = json!({ "version": version, "after_ms": after });
             decisions::note("weights", "staged", fields);
             self.state.update_notice(|notice| notice.staged = Some(version));
@@ -482,7 +482,7 @@
     async fn switch_version(&mut self, goal: &Goal, sequence: OrderSequence) {
         let engine = self.dependencies.engine.clone();
         let conditions = DrainConditions {
-            serves: goal.whole.is_some(),
+            serves: goal.loaded.is_some(),
             is_first: change::is_first(&self.state, goal.version),
         };
         let Some(transfer) = &self.transfer else { return };
@@ -529,7 +529,7 @@
     fn record_check(&mut self, check: StageCheck) {
         let Some(transfer) = &mut self.transfer else { return };
         if check.corrupt.is_empty() {
-            transfer.stage.checked = Some(check.begun);
+            transfer.stage.checked = Some(check.started);
             return;
         }
         let fields = json!({ "version": transfer.pieces.version, "pieces": check.corrupt });
@@ -559,7 +559,7 @@
 /// Result of reading all staged pieces back.
 #[derive(Debug)]
 struct StageCheck {
-    begun: Moment,
+    started: Moment,
     corrupt: Vec<usize>,
 }
 
@@ -567,7 +567,7 @@
 async fn verify_stage(
     engine: &dyn EngineStage,
     transfer: &VersionTransfer,
-    begun: Moment,
+    started: Moment,
 ) -> StageCheck {
     let mut corrupt = Vec::new();
     for (piece, place) in transfer.manifest.chunks().iter().enumerate() {
@@ -577,5 +577,5 @@
             corrupt.push(piece);
         }
     }
-    StageCheck { begun, corrupt }
+    StageCheck { started, corrupt }
 }
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -57,7 +57,7 @@
     /// Known content of the stage.
     pub stage: StageState,
     /// Start time.
-    pub since: Moment,
+    pub started: Moment,
 }
 
 impl VersionTransfer {
@@ -184,8 +184,8 @@
         swarm.tell(DriverInput::Seats(seats::seats(&self.state)));
         self.hub.add(swarm.clone());
         self.retain_recent(manifest.digest());
-        let since = self.state.node.now();
-        VersionTransfer { pieces, manifest, swarm, stage, since }
+        let started = self.state.node.now();
+        VersionTransfer { pieces, manifest, swarm, stage, started }
     }
 
     fn retain_recent(&mut self, digest: Digest) {
