--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -1,4 +1,4 @@
-//! Sends and hears an agent's notices.
+//! Sends and receives an agent's notices.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -15,7 +15,7 @@
 };
 use crate::{agent::registry::SwarmRegistry, node::service::SwarmHost};
 
-/// The notices of one agent.
+/// State of the notice task of one agent.
 struct AgentNotices {
     state: Arc<AgentState>,
     hub: Arc<SwarmRegistry>,
@@ -24,7 +24,7 @@
     relays: NearRelays,
 }
 
-/// Sends and hears an agent's notices for ever.
+/// Sends and receives an agent's notices until the task is aborted.
 pub(super) async fn run(state: Arc<AgentState>, hub: Arc<SwarmRegistry>, socket: Arc<UdpSocket>) {
     let node = &state.settings.node;
     let domain = DomainKey::from(&node.domain);
@@ -39,10 +39,10 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, _)) = received {
-                    notices.hear(&buffer[..length]);
+                    notices.handle_datagram(&buffer[..length]);
                 }
             }
-            () = state.news.notified() => notices.tick(),
+            () = state.notice_changed.notified() => notices.tick(),
             _ = ticks.tick() => notices.tick(),
         }
     }
@@ -68,23 +68,23 @@
         mails.iter().for_each(|mail| mail.send(&self.socket));
     }
 
-    fn hear(&mut self, bytes: &[u8]) {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
         match Datagram::decode(bytes) {
             Some(Datagram::Notice(notice)) => {
                 let wanted = notice.wanted.clone();
                 let outcome = lock(&self.state.peers).receive(self.state.node.now(), *notice);
-                self.take_facts(outcome, &wanted);
+                self.apply_wanted(outcome, &wanted);
             }
-            Some(Datagram::Bundle(bundle)) => self.hear_bundle(bundle),
+            Some(Datagram::Bundle(bundle)) => self.handle_bundle(bundle),
             Some(Datagram::Notes(notes)) => {
-                // Notes of a transfer that has not begun here are kept for a while.
+                // The hub buffers notes of a transfer that has not started here yet.
                 let _ = self.hub.handle_notes(notes);
             }
             None => {}
         }
     }
 
-    fn hear_bundle(&mut self, bundle: PeerBundle) {
+    fn handle_bundle(&mut self, bundle: PeerBundle) {
         let now = self.state.node.now();
         let node = &self.state.settings.node;
         if bundle.domain == DomainKey::from(&node.domain) {
@@ -100,18 +100,18 @@
         for relayed in bundle.notices {
             let PeerNotice { wanted, .. } = relayed.notice.clone();
             let outcome = lock(&self.state.peers).apply_relayed(now, relayed.notice, relayed.age);
-            self.take_facts(outcome, &wanted);
+            self.apply_wanted(outcome, &wanted);
         }
     }
 
-    fn take_facts(
+    fn apply_wanted(
         &self,
         outcome: NoticeOutcome,
         wanted: &[headlatch_core::direct::peers::WantedNotice],
     ) {
-        self.state.hear_wanted(wanted);
+        self.state.record_wanted_notices(wanted);
         if outcome.after_disconnect {
-            self.state.weights_nudge.notify_one();
+            self.state.weights_refresh.notify_one();
         }
     }
 }
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -1,7 +1,9 @@
-//! What an agent needs of the plan: the origin of weights, and the figures of its engine.
+//! The parts of the plan that an agent needs: the origin of weights and the parameters of its
+//! engine.
 //!
-//! It is read beside the agent's work, which never waits for it, and is kept until a newer one is
-//! here: a plan that may be old names the right origin nearly always, none names nothing.
+//! The plan is read by a separate task, so that the stager never waits for it. A plan is kept until
+//! a newer one has been read: an outdated plan nearly always names the right origin, while no plan
+//! names none.
 
 use std::{
     net::SocketAddr,
@@ -27,31 +29,32 @@
 };
 use crate::decisions;
 
-/// Pause between two readings.
-const PLAN_PAUSE: Duration = Duration::from_millis(700);
+/// Pause between two reads of the plan.
+const PLAN_READ_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Time between two readings of a plan that nobody is known to have replaced.
-const DOUBT_REST: Duration = Duration::from_secs(5);
+/// Minimum time between two reads while no entry is known to have a newer plan.
+const REFRESH_MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause between two looks for a newer plan.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+/// Poll interval while waiting for an entry with a newer plan.
+const NEWER_PLAN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which the store is asked for the plan where no entry is known that has one.
-const LONELY_PATIENCE: Duration = Duration::from_millis(500);
+/// Time after which the plan is read from the store if no entry is known.
+const NO_ENTRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time after which the first agents of a failure domain ask it in any case, the others in turns: entries
-/// that have just started as well have the plan before that. A whole plan may take a megabyte, and there
-/// are dozens of agents a region.
-const STORE_PATIENCE: Duration = Duration::from_millis(3000);
+/// Time after which the first agents of a failure domain read the plan from the store although
+/// entries are known; the others follow staggered by rank. Entries that started at the same time
+/// have the plan earlier than that. A whole plan may take a megabyte, and there are dozens of
+/// agents per region.
+const STORE_FALLBACK_DELAY: Duration = Duration::from_millis(3000);
 
-/// Pause between two entries that are asked.
-const ENTRY_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two attempts to read the plan from an entry.
+const ENTRY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An agent's copy of the plan.
 #[derive(Debug, Default)]
 pub(super) struct AgentPlan {
     plan: Mutex<Option<Arc<TrafficPlan>>>,
-    doubted: Notify,
+    refresh_requested: Notify,
 }
 
 impl AgentPlan {
@@ -59,12 +62,12 @@
         self.plan.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// The origin of weights; none as long as no plan names one.
+    /// Returns the origin of weights, or `None` until a plan names one.
     pub(super) fn origin(&self) -> Option<OriginPlan> {
         self.lock().as_ref()?.origin().cloned()
     }
 
-    /// The figures of the engine of `service`, or of the only one that has any.
+    /// Returns the engine parameters of `service`, or of the first service that has any.
     pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineFigures> {
         let plan = self.lock().clone()?;
         let named = service.and_then(|service| plan.services.get(service));
@@ -73,47 +76,49 @@
         named.or_else(any).cloned()
     }
 
-    /// The first model of the engine of `service`.
+    /// Returns the first model of the engine of `service`.
     pub(super) fn model(&self, service: Option<&str>) -> Option<ModelName> {
         self.engine(service).and_then(|engine| engine.models.first().cloned())
     }
 
-    /// Whether all streams of `service` can be continued elsewhere.
+    /// Whether all streams of `service` can be resumed on another server.
     pub(super) fn may_cut(&self, service: Option<&str>) -> bool {
         let plan = self.lock().clone();
         plan.zip(service).is_some_and(|(plan, service)| plan.may_cut(service))
     }
 
-    /// The origin failed; it may have moved, so that the plan is to be read again.
-    pub(super) fn doubt(&self) {
-        self.doubted.notify_one();
+    /// Requests a new read of the plan after a failure of the origin, whose address may have
+    /// changed.
+    pub(super) fn request_refresh(&self) {
+        self.refresh_requested.notify_one();
     }
 
-    /// Reads the plan until it names an origin, and again whenever that is doubted.
+    /// Reads the plan until it names an origin, and again whenever a refresh is requested.
     pub(super) async fn run(self: Arc<Self>, state: Arc<AgentState>, store: Arc<dyn FactStore>) {
-        // An old plan names the same origin nearly always, and costs the store a tenth.
+        // An outdated plan nearly always names the same origin, and costs the store a tenth of a
+        // current one.
         let mut freshness = Freshness::MayBeOld;
         let mut reader =
             FactReader::new(store, FactTopic::Plan, Arc::default(), Arc::new(AlwaysOpen));
         loop {
             let plan = tokio::select! {
-                plan = read_store(&state, &mut reader, freshness) => plan,
-                plan = read_entries(&state) => Some(plan),
+                plan = read_from_store(&state, &mut reader, freshness) => plan,
+                plan = read_from_entries(&state) => Some(plan),
             };
             match plan.filter(|plan| plan.origin().is_some()) {
                 Some(plan) => {
-                    self.take(plan);
-                    self.wait_for_doubt(&state).await;
+                    self.replace_if_newer(plan);
+                    self.wait_for_refresh(&state).await;
                 }
                 None => decisions::info("plan", "names_no_origin", json!({})),
             }
             freshness = Freshness::Current;
-            tokio::time::sleep(PLAN_PAUSE).await;
+            tokio::time::sleep(PLAN_READ_INTERVAL).await;
         }
     }
 
-    /// Takes over a plan unless it is older than the one that is kept.
-    fn take(&self, plan: Arc<TrafficPlan>) {
+    /// Replaces the plan if `plan` has a higher version.
+    fn replace_if_newer(&self, plan: Arc<TrafficPlan>) {
         let mut kept = self.lock();
         if kept.as_ref().is_some_and(|kept| kept.version >= plan.version) {
             return;
@@ -122,28 +127,30 @@
         *kept = Some(plan);
     }
 
-    /// Waits until the plan is doubted, and then until a newer one is known or some time has
-    /// passed: an origin that is merely full or down fails again and again.
-    async fn wait_for_doubt(&self, state: &AgentState) {
-        let rested = Instant::now() + DOUBT_REST;
-        self.doubted.notified().await;
+    /// Waits for a refresh request, and then until an entry has a newer plan or
+    /// [`REFRESH_MIN_INTERVAL`] has passed. An origin that is only overloaded or down requests a
+    /// refresh at every failure.
+    async fn wait_for_refresh(&self, state: &AgentState) {
+        let earliest_refresh = Instant::now() + REFRESH_MIN_INTERVAL;
+        self.refresh_requested.notified().await;
         let version = self.lock().as_ref().map(|plan| plan.version).unwrap_or_default();
-        while Instant::now() < rested && holder_of_newer(state, version).is_none() {
-            tokio::time::sleep(LOOK_PAUSE).await;
+        while Instant::now() < earliest_refresh && entry_with_newer_plan(state, version).is_none() {
+            tokio::time::sleep(NEWER_PLAN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// The plan from the store, where no entry hands it over.
-async fn read_store(
+/// Reads the plan from the store once the delay for reading it from an entry has passed.
+async fn read_from_store(
     state: &AgentState,
     reader: &mut FactReader,
     freshness: Freshness,
 ) -> Option<Arc<TrafficPlan>> {
-    tokio::time::sleep(LONELY_PATIENCE).await;
-    if holder_of_newer(state, PlanVersion::default()).is_some() || knows_entries(state) {
+    tokio::time::sleep(NO_ENTRY_DELAY).await;
+    if entry_with_newer_plan(state, PlanVersion::default()).is_some() || knows_entries(state) {
         let before = lock(&state.peers).agents_before();
-        tokio::time::sleep(fallback_read_delay(STORE_PATIENCE, before) - LONELY_PATIENCE).await;
+        tokio::time::sleep(fallback_read_delay(STORE_FALLBACK_DELAY, before) - NO_ENTRY_DELAY)
+            .await;
     }
     let list = reader.list(freshness).await;
     let plans = set_facts(FactNews::All(list)).into_iter().filter_map(|fact| match fact {
@@ -157,22 +164,22 @@
     lock(&state.peers).entries(PeerKind::Agent) > 0
 }
 
-/// The plan from an entry.
-async fn read_entries(state: &AgentState) -> Arc<TrafficPlan> {
+/// Reads the plan from an entry, retrying until one succeeds.
+async fn read_from_entries(state: &AgentState) -> Arc<TrafficPlan> {
     let connections = Connections::default();
     loop {
-        if let Some(entry) = holder_of_newer(state, PlanVersion::default()) {
+        if let Some(entry) = entry_with_newer_plan(state, PlanVersion::default()) {
             match plan_sync::fetch_for_agent(&connections, entry).await {
                 Ok(plan) => return Arc::new(plan),
                 Err(error) => decisions::warn("plan", "not_fetched", json!({ "error": error })),
             }
         }
-        tokio::time::sleep(ENTRY_PAUSE).await;
+        tokio::time::sleep(ENTRY_RETRY_INTERVAL).await;
     }
 }
 
-/// An entry that has a plan newer than `version`, of the own failure domain if there is one.
-fn holder_of_newer(state: &AgentState, version: PlanVersion) -> Option<SocketAddr> {
+/// Returns a random entry with a plan newer than `version`, preferring the own failure domain.
+fn entry_with_newer_plan(state: &AgentState, version: PlanVersion) -> Option<SocketAddr> {
     let peers = lock(&state.peers);
     let near = peers.newer_plans(version, true);
     let far = || peers.newer_plans(version, false);
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers of versions: from the manifest to pieces that lie in this agent's memory.
+//! Transfers of versions, from reading the manifest until all pieces are in this agent's memory.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -19,9 +19,9 @@
 };
 
 use super::{
-    agent::{AgentOutside, AgentState},
+    agent::{AgentDependencies, AgentState},
     seats,
-    weights::{PieceReader, burst_manifest, encode_pieces, piece_name, pieces_from_peer},
+    weights::{PieceReader, burst_manifest, encode_manifest, manifest_from_peer, transfer_name},
 };
 use crate::agent::{
     chunk_cache::ChunkCache,
@@ -30,106 +30,114 @@
     swarm::{self, DriverInput, SwarmContext, SwarmHandle},
 };
 
-/// Pieces looked at before a stage counts as one of another version.
+/// Number of pieces read from the stage before it is taken to hold another version: if none of them
+/// match, the survey stops.
 const SURVEY_SAMPLE: u32 = 3;
 
-/// Transfers that are kept for others after their pieces are here: the one that is served, the one
-/// that is staged, and the next.
-const KEPT_TRANSFERS: usize = 3;
+/// Number of transfers retained to serve their pieces to other agents: the version that is served,
+/// the one that is staged, and the next one.
+const MAX_RETAINED_TRANSFERS: usize = 3;
 
-/// Boxes of the own failure domain that hear of every piece: with more, notes take a good part of a narrow
-/// link, and with few a burst takes longer.
-const NEIGHBOURS: usize = 16;
+/// Boxes of the own failure domain that are notified of every piece. More of them use a large part
+/// of a narrow link for notes; fewer lengthen a burst.
+const MAX_NEIGHBOURS: usize = 16;
 
-/// Requests for pieces that may wait here.
-const MOST_WAITING: usize = 16;
+/// Maximum number of piece requests queued per transfer.
+const MAX_QUEUED_REQUESTS: usize = 16;
 
-/// A version that is being brought in.
+/// Transfer of one version.
 #[derive(Debug)]
-pub struct VersionWork {
-    /// Its pieces.
+pub struct VersionTransfer {
+    /// Manifest of the pieces, as the origin or a peer provides it.
     pub pieces: PieceManifest,
-    /// The same as chunks of a burst.
+    /// The same manifest in terms of chunks of the burst.
     pub manifest: Arc<Manifest>,
-    /// The transfer.
+    /// The swarm that fetches and serves the pieces.
     pub swarm: SwarmHandle,
-    /// What is known of the stage.
+    /// Known content of the stage.
     pub stage: StageState,
-    /// When it began.
-    pub since: Moment,
+    /// Start time.
+    pub started: Moment,
 }
 
-impl VersionWork {
-    /// Whether it brings in this version of this model.
+impl VersionTransfer {
+    /// Whether this is the transfer of `version` of `model`.
     pub fn is_for(&self, model: &ModelName, version: WeightVersion) -> bool {
         self.pieces.version == version && self.pieces.model == *model
     }
 
-    /// Whether every piece has been laid into the stage.
+    /// Whether all pieces have been written to the stage.
     pub fn is_staged(&self) -> bool {
         self.stage.placed.iter().all(|placed| *placed)
     }
 }
 
-/// What every transfer of this box shares.
+/// Resources shared by all transfers of this box.
 #[derive(Debug, Clone)]
-pub struct TransferLinks {
-    /// Pieces that are here.
+pub struct TransferResources {
+    /// Pieces in memory.
     pub vault: Arc<ChunkCache>,
-    /// This machine's link inwards.
+    /// Pacer of this box's inbound link.
     pub down: Arc<LinkPacer>,
-    /// Carries notes to other boxes.
+    /// Sends notes to other boxes.
     pub carrier: Arc<dyn NoteSender>,
 }
 
-/// Begins transfers, and keeps those that others may still need.
-pub struct TransferDesk {
+/// Starts transfers and retains those whose pieces other agents may still request.
+pub struct TransferManager {
     state: Arc<AgentState>,
-    outside: AgentOutside,
+    dependencies: AgentDependencies,
     hub: Arc<SwarmRegistry>,
-    links: TransferLinks,
-    kept: Vec<Digest>,
-    /// Who was last told to take part.
-    told_seats: Vec<(PeerLocation, SocketAddr)>,
+    resources: TransferResources,
+    retained: Vec<Digest>,
+    /// Seats last published to the transfers.
+    published_seats: Vec<(PeerLocation, SocketAddr)>,
 }
 
-impl TransferDesk {
-    /// No transfer yet.
+impl TransferManager {
+    /// Creates a manager without transfers.
     pub(super) fn new(
         state: Arc<AgentState>,
-        outside: AgentOutside,
+        dependencies: AgentDependencies,
         hub: Arc<SwarmRegistry>,
-        links: TransferLinks,
+        resources: TransferResources,
     ) -> Self {
-        Self { state, outside, hub, links, kept: Vec::new(), told_seats: Vec::new() }
+        Self {
+            state,
+            dependencies,
+            hub,
+            resources,
+            retained: Vec::new(),
+            published_seats: Vec::new(),
+        }
     }
 
-    /// Tells every transfer who takes part, where that has changed: those that hold everything must
-    /// hear of newcomers as well, to offer what they hold.
-    pub fn tell_seats(&mut self) {
+    /// Publishes the current seats to all transfers if they have changed. Complete transfers need
+    /// them too, in order to offer their pieces to new agents.
+    pub fn publish_seats(&mut self) {
         let seats = seats::seats(&self.state);
-        if seats == self.told_seats {
+        if seats == self.published_seats {
             return;
         }
         for swarm in self.hub.all() {
             swarm.try_send(DriverInput::Peers(seats.clone()));
         }
-        self.told_seats = seats;
+        self.published_seats = seats;
     }
 
-    /// The bytes of a piece, if it is here.
-    pub fn piece(&self, work: &VersionWork, piece: usize) -> Option<Bytes> {
-        let place = work.manifest.chunks().get(piece)?;
-        self.links.vault.get(&place.digest)
+    /// Returns the bytes of a piece if it is in memory.
+    pub fn piece(&self, transfer: &VersionTransfer, piece: usize) -> Option<Bytes> {
+        let place = transfer.manifest.chunks().get(piece)?;
+        self.resources.vault.get(&place.digest)
     }
 
-    /// Which pieces are here.
-    pub fn held(&self, work: &VersionWork) -> Vec<bool> {
-        let places = work.manifest.chunks().iter();
-        places.map(|place| self.links.vault.get(&place.digest).is_some()).collect()
+    /// Returns for each piece whether it is in memory.
+    pub fn held(&self, transfer: &VersionTransfer) -> Vec<bool> {
+        let places = transfer.manifest.chunks().iter();
+        places.map(|place| self.resources.vault.get(&place.digest).is_some()).collect()
     }
 
-    /// Reads the manifest of a version from `source`; none if it is to be read later.
+    /// Reads the manifest of a version from `source`. Returns `None` if it is to be read later.
     pub async fn manifest(
         &self,
         source: ManifestSource,
@@ -140,24 +148,24 @@
         match source {
             ManifestSource::Wait => Ok(None),
             ManifestSource::Origin => {
-                let read = self.outside.origin.manifest(origin.address, model, version);
+                let read = self.dependencies.origin.manifest(origin.address, model, version);
                 read.await.map(Some)
             }
             ManifestSource::Peer(address) => {
                 let channels = &self.state.node.channels;
-                pieces_from_peer(channels, address, model, version).await.map(Some)
+                manifest_from_peer(channels, address, model, version).await.map(Some)
             }
         }
     }
 
-    /// Begins to bring in a version; `is_next` tells that the stage holds another one that is
-    /// needed, so that nothing of this version lies there.
+    /// Starts the transfer of a version. With `is_next`, the stage holds another version that is
+    /// still needed, so it is not surveyed for pieces of this one.
     pub async fn begin(
         &mut self,
         origin: &OriginPlan,
         pieces: PieceManifest,
         is_next: bool,
-    ) -> VersionWork {
+    ) -> VersionTransfer {
         let version = pieces.version;
         let manifest = Arc::new(burst_manifest(&pieces));
         let stage = match is_next {
@@ -175,17 +183,17 @@
         let swarm = self.start_swarm(&pieces, &manifest, origin);
         swarm.try_send(DriverInput::Peers(seats::seats(&self.state)));
         self.hub.add(swarm.clone());
-        self.keep(manifest.digest());
-        let since = self.state.node.now();
-        VersionWork { pieces, manifest, swarm, stage, since }
+        self.retain_recent(manifest.digest());
+        let started = self.state.node.now();
+        VersionTransfer { pieces, manifest, swarm, stage, started }
     }
 
-    fn keep(&mut self, digest: Digest) {
-        self.kept.retain(|kept| *kept != digest);
-        self.kept.push(digest);
-        let surplus = self.kept.len().saturating_sub(KEPT_TRANSFERS);
-        self.kept.drain(..surplus);
-        self.hub.retain(|digest| self.kept.contains(digest));
+    fn retain_recent(&mut self, digest: Digest) {
+        self.retained.retain(|retained| *retained != digest);
+        self.retained.push(digest);
+        let surplus = self.retained.len().saturating_sub(MAX_RETAINED_TRANSFERS);
+        self.retained.drain(..surplus);
+        self.hub.retain(|digest| self.retained.contains(digest));
     }
 
     fn start_swarm(
@@ -196,61 +204,65 @@
     ) -> SwarmHandle {
         let tools = SwarmContext {
             node: self.state.node.clone(),
-            chunk_cache: self.links.vault.clone(),
-            downlink: self.links.down.clone(),
-            note_sender: self.links.carrier.clone(),
-            origin: Some(Arc::new(self.reader(pieces, origin.address))),
+            chunk_cache: self.resources.vault.clone(),
+            downlink: self.resources.down.clone(),
+            note_sender: self.resources.carrier.clone(),
+            origin: Some(Arc::new(self.origin_reader(pieces, origin.address))),
             store: None,
         };
         let bytes = ByteSize::from_bytes(pieces.piece_bytes.into());
-        let own = self.state.settings.link.rate.time_for(bytes);
+        let link_time = self.state.settings.link.rate.time_for(bytes);
         let origin_rate = ByteRate::from_bytes_per_second(origin.bytes_per_second.max(1));
         let count = pieces.digests.len() as u32;
-        let mut settings = SwarmSettings::new(count, own, origin_rate.time_for(bytes));
+        let mut settings = SwarmSettings::new(count, link_time, origin_rate.time_for(bytes));
         settings.prefer = BurstPreference::OriginBytes;
         settings.draw_mode = DrawMode::Assigned;
         settings.timings = SwarmTimings::short_burst();
-        settings.queue = MOST_WAITING;
-        settings.neighbours = NEIGHBOURS;
-        let name = piece_name(&pieces.model, pieces.version);
-        let text = (encode_pieces(pieces), manifest.clone());
+        settings.queue = MAX_QUEUED_REQUESTS;
+        settings.neighbours = MAX_NEIGHBOURS;
+        let name = transfer_name(&pieces.model, pieces.version);
+        let encoded = (encode_manifest(pieces), manifest.clone());
         let own_seat: PeerLocation = seats::own_seat(&self.state);
-        swarm::start(tools, name, text, settings, own_seat)
+        swarm::start(tools, name, encoded, settings, own_seat)
     }
 
-    fn reader(&self, pieces: &PieceManifest, address: SocketAddr) -> PieceReader {
+    fn origin_reader(&self, pieces: &PieceManifest, address: SocketAddr) -> PieceReader {
         PieceReader {
-            origin: self.outside.origin.clone(),
+            origin: self.dependencies.origin.clone(),
             address,
             model: pieces.model.clone(),
             version: pieces.version,
-            down: self.links.down.clone(),
+            down: self.resources.down.clone(),
         }
     }
 
-    /// Looks which pieces of a version lie in the stage already.
+    /// Determines which pieces of a version are already in the stage.
     async fn survey(&self, pieces: &PieceManifest, manifest: &Manifest) -> StageState {
         let count = pieces.digests.len() as u32;
         let mut placed = vec![false; count as usize];
-        let mut good = 0;
+        let mut intact = 0;
         for piece in 0..count {
-            if piece == SURVEY_SAMPLE && good == 0 {
+            if piece == SURVEY_SAMPLE && intact == 0 {
                 break;
             }
             if self.is_staged(pieces, manifest, piece).await {
                 placed[piece as usize] = true;
-                good += 1;
+                intact += 1;
             }
         }
         StageState { version: Some(pieces.version), placed, checked: None, surveyed: true }
     }
 
-    /// Whether a piece lies in the stage unspoilt; if so, it is here for others as well.
+    /// Whether an intact copy of a piece is in the stage. If so, it is also put into memory, from
+    /// where it is served to other agents.
     async fn is_staged(&self, pieces: &PieceManifest, manifest: &Manifest, piece: u32) -> bool {
         let Some(place) = manifest.chunk(ChunkIndex(piece)) else { return false };
-        match self.outside.engine.get(&pieces.model, piece).await {
+        match self.dependencies.engine.get(&pieces.model, piece).await {
             Ok(data) => {
-                matches!(self.links.vault.put(manifest.kind(), place.digest, data), Some(Ok(())))
+                matches!(
+                    self.resources.vault.put(manifest.kind(), place.digest, data),
+                    Some(Ok(()))
+                )
             }
             Err(_) => false,
         }
