--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -40,10 +40,10 @@
     agent_notices,
     agent_plan::AgentPlan,
     datagram::DatagramCarrier,
-    facts::{FactNews, ReadGate, ReaderDuty, follow, set_facts},
-    seats::seat_key,
+    facts::{FactUpdate, ReadGate, ReaderRole, follow, readable_facts},
     stager::Stager,
     transfer::{TransferDesk, TransferLinks},
+    transfer_peers::agent_peer_key,
 };
 use crate::{
     agent::{bind_control, hub::SwarmHub, vault::ChunkVault},
@@ -260,8 +260,8 @@
     fn note(&self, _answered: bool) {}
 
     /// Entries of all failure domains tell agents which versions are wanted.
-    fn duty(&self) -> ReaderDuty {
-        ReaderDuty::StandsBy
+    fn role(&self) -> ReaderRole {
+        ReaderRole::Standby
     }
 }
 
@@ -271,8 +271,8 @@
         lock(&self.wanted).versions(self.node.now(), model)
     }
 
-    fn hear_weights(&self, news: FactNews) {
-        for fact in set_facts(news) {
+    fn hear_weights(&self, news: FactUpdate) {
+        for fact in readable_facts(news) {
             if let Fact::Weights(weights) = fact {
                 self.learn_wanted(&weights.model, weights.version, Duration::ZERO);
             }
@@ -320,7 +320,7 @@
 
     /// The key of the seat of the agent at `control`.
     pub(super) fn seat_key(&self, control: SocketAddr) -> PeerKey {
-        *lock(&self.seat_keys).entry(control).or_insert_with(|| seat_key(control))
+        *lock(&self.seat_keys).entry(control).or_insert_with(|| agent_peer_key(control))
     }
 
     /// Changes what is told of the server, and tells it at once if that is news.
--- a/crates/daemon/src/direct/agent_notices.rs
+++ b/crates/daemon/src/direct/agent_notices.rs
@@ -10,8 +10,8 @@
 
 use super::{
     agent::{AgentState, lock},
-    datagram::{Datagram, MOST_DATAGRAM},
-    notices::{NOTICE_PAUSE, NoticeBody, NoticeWriter},
+    datagram::{Datagram, MAX_DATAGRAM_BYTES},
+    notices::{NOTICE_INTERVAL, NoticeBody, NoticeWriter},
 };
 use crate::{agent::hub::SwarmHub, node::service::SwarmHost};
 
@@ -32,9 +32,9 @@
     let relays = NearRelays::default();
     let mut notices =
         AgentNotices { state: state.clone(), hub, socket: socket.clone(), writer, relays };
-    let mut ticks = tokio::time::interval(NOTICE_PAUSE);
+    let mut ticks = tokio::time::interval(NOTICE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buffer = vec![0; MOST_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -22,7 +22,7 @@
 
 use super::{
     agent::{AgentState, lock},
-    facts::{AlwaysOpen, FactNews, FactReader, set_facts},
+    facts::{AlwaysOpen, FactReader, FactUpdate, readable_facts},
     plan_sync,
 };
 use crate::decisions;
@@ -146,7 +146,7 @@
         tokio::time::sleep(fallback_read_delay(STORE_PATIENCE, before) - LONELY_PATIENCE).await;
     }
     let list = reader.list(freshness).await;
-    let plans = set_facts(FactNews::All(list)).into_iter().filter_map(|fact| match fact {
+    let plans = readable_facts(FactUpdate::All(list)).into_iter().filter_map(|fact| match fact {
         Fact::Plan(plan) => Some(Arc::from(plan)),
         _ => None,
     });
--- a/crates/daemon/src/direct/datagram.rs
+++ b/crates/daemon/src/direct/datagram.rs
@@ -16,10 +16,10 @@
 use crate::agent::notes::{LostCall, NoteCarrier};
 
 /// First byte of a bundle; no message of protobuf begins with it, so that a notice needs no mark.
-const BUNDLE_MARK: u8 = 0x01;
+const BUNDLE_TAG: u8 = 0x01;
 
 /// First byte of the notes of a transfer.
-const NOTES_MARK: u8 = 0x02;
+const NOTES_TAG: u8 = 0x02;
 
 /// Bytes of an address in a roster: an IPv4 number and a port.
 const ADDRESS_BYTES: usize = 6;
@@ -28,7 +28,7 @@
 const AGE_STEP_MS: u128 = 10;
 
 /// Largest datagram.
-pub const MOST_DATAGRAM: usize = 8 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// What came in a datagram.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,8 +45,8 @@
     /// Reads a datagram; none if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first()? {
-            (&BUNDLE_MARK, rest) => decode_bundle(rest).map(Self::Bundle),
-            (&NOTES_MARK, rest) => wire::SwarmNotes::decode(rest).ok().map(Self::Notes),
+            (&BUNDLE_TAG, rest) => decode_bundle(rest).map(Self::Bundle),
+            (&NOTES_TAG, rest) => wire::SwarmNotes::decode(rest).ok().map(Self::Notes),
             _ => decode(bytes).map(|notice| Self::Notice(Box::new(notice))),
         }
     }
@@ -55,22 +55,22 @@
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Self::Notice(notice) => encode(notice),
-            Self::Bundle(bundle) => marked(BUNDLE_MARK, &encode_bundle(bundle)),
-            Self::Notes(notes) => marked(NOTES_MARK, notes),
+            Self::Bundle(bundle) => tagged(BUNDLE_TAG, &encode_bundle(bundle)),
+            Self::Notes(notes) => tagged(NOTES_TAG, notes),
         }
     }
 }
 
-fn marked(mark: u8, message: &impl Message) -> Vec<u8> {
-    let mut bytes = vec![mark];
+fn tagged(tag: u8, message: &impl Message) -> Vec<u8> {
+    let mut bytes = vec![tag];
     bytes.extend(message.encode_to_vec());
     bytes
 }
 
 fn encode_roster(roster: &DomainRoster) -> wire::BundleRoster {
-    let short = roster.members.iter().filter(|member| member.address.is_ipv4());
+    let ipv4_members = roster.members.iter().filter(|member| member.address.is_ipv4());
     let (mut addresses, mut ages) = (Vec::new(), Vec::new());
-    for member in short {
+    for member in ipv4_members {
         addresses.extend(address_bytes(&member.address));
         let steps = (member.age.as_millis() / AGE_STEP_MS).min(u128::from(u16::MAX)) as u32;
         ages.push(steps * 2 + u32::from(member.kind == PeerKind::Agent));
@@ -110,13 +110,13 @@
         notices: bundle.notices.iter().map(notice).collect(),
         drains: bundle.drains.iter().map(drain).collect(),
         hears: (!bundle.received_from.is_empty())
-            .then(|| encode_roster(&heard_roster(&bundle.received_from))),
+            .then(|| encode_roster(&received_from_roster(&bundle.received_from))),
     }
 }
 
 /// What a relay hears itself, in the form of a roster.
-fn heard_roster(hears: &[RosterMember]) -> DomainRoster {
-    DomainRoster { domain: DomainKey::default(), members: hears.to_vec() }
+fn received_from_roster(members: &[RosterMember]) -> DomainRoster {
+    DomainRoster { domain: DomainKey::default(), members: members.to_vec() }
 }
 
 fn decode_bundle(bytes: &[u8]) -> Option<PeerBundle> {
@@ -142,7 +142,7 @@
         notices: message.notices.into_iter().map(notice).collect::<Option<_>>()?,
         drains: message.drains.iter().map(drain).collect::<Option<_>>()?,
         received_from: match &message.hears {
-            Some(heard) => decode_roster(heard)?.members,
+            Some(roster) => decode_roster(roster)?.members,
             None => Vec::new(),
         },
     })
--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -19,7 +19,7 @@
 
 use super::{
     entry_notices,
-    facts::{FactNews, ReadGate, follow},
+    facts::{FactUpdate, ReadGate, follow},
     front, plan_sync, quarantine_keeper, server_sync,
     state::{EntryState, TopicGate},
 };
@@ -178,7 +178,7 @@
     topic: FactTopic,
     refresh: Arc<Notify>,
     gate: Arc<dyn ReadGate>,
-    apply: fn(&EntryState, FactNews),
+    apply: fn(&EntryState, FactUpdate),
 }
 
 impl TopicSubscription {
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -15,22 +15,22 @@
 };
 
 use super::{
-    datagram::{Datagram, MOST_DATAGRAM},
-    notices::{NOTICE_PAUSE, NoticeBody, NoticeMail, NoticeWriter},
+    datagram::{Datagram, MAX_DATAGRAM_BYTES},
+    notices::{NOTICE_INTERVAL, NoticeBody, NoticeWriter, OutgoingDatagram},
     relay_mail::{BundleWriter, RelayView},
     state::EntryState,
 };
 use crate::decisions;
 
 /// How often a relay looks whether there is something that its members must hear at once.
-const NEWS_PAUSE: Duration = Duration::from_millis(20);
+const URGENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Ticks between two times that all agents' words are taken in anew, besides those that change.
 const REFRESH_TICKS: u64 = 10;
 
 /// A peer that is to be answered at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReplyDue {
+enum Reply {
     /// It waits for word that its server gets nothing more.
     Drain(SocketAddr),
     /// It has just been found: names help it to find others.
@@ -81,29 +81,29 @@
         reach: NoticeReach::Mesh,
         ticks: 0,
     };
-    let (mut ticks, mut news_ticks) = (interval(NOTICE_PAUSE), interval(NEWS_PAUSE));
-    let mut buffer = vec![0; MOST_DATAGRAM];
+    let (mut ticks, mut urgent_ticks) = (interval(NOTICE_INTERVAL), interval(URGENT_POLL_INTERVAL));
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let relays = matches!(notices.reach, NoticeReach::Relay(..));
         tokio::select! {
             received = notices.socket.recv_from(&mut buffer) => {
                 if let Ok((length, _)) = received {
-                    notices.hear(&buffer[..length]);
+                    notices.handle_datagram(&buffer[..length]);
                 }
             }
-            () = state.loads_changed.notified() => notices.tell_changes(),
+            () = state.loads_changed.notified() => notices.send_load_changes(),
             _ = ticks.tick() => notices.tick(),
-            _ = news_ticks.tick(), if relays => notices.relay_news(),
+            _ = urgent_ticks.tick(), if relays => notices.relay_urgent_changes(),
         }
     }
 }
 
 impl EntryNotices {
-    fn tell_changes(&mut self) {
+    fn send_load_changes(&mut self) {
         let changes = self.state.servers().take_load_changes();
         if !changes.is_empty() {
-            let mail = self.writer.changes(&self.state.peers(), changes);
-            mail.send(&self.socket);
+            let datagram = self.writer.changes(&self.state.peers(), changes);
+            datagram.send(&self.socket);
         }
     }
 
@@ -121,36 +121,36 @@
             // The full list that goes out tells the changes as well.
             let _ = self.state.servers().take_load_changes();
             let body = entry_body(&self.state, false);
-            let mails = self.writer.tick(&self.state.peers(), body);
-            return self.send(&mails);
+            let datagrams = self.writer.tick(&self.state.peers(), body);
+            return self.send(&datagrams);
         }
-        if self.writer.is_change_turn() {
-            self.tell_changes();
+        if self.writer.load_changes_due() {
+            self.send_load_changes();
         }
         // An entry that others ask to relay speaks for its failure domain beside the first one.
-        let is_asked = matches!(self.reach, NoticeReach::Relay(rank, _) if rank >= RELAYS);
-        let body = entry_body(&self.state, is_asked);
+        let relays_on_request = matches!(self.reach, NoticeReach::Relay(rank, _) if rank >= RELAYS);
+        let body = entry_body(&self.state, relays_on_request);
         if let NoticeReach::Relay(rank, _) = self.reach {
-            let mails = self.relay_mails(rank, body.clone(), BundleWriter::turn);
-            self.send(&mails);
+            let datagrams = self.relay_datagrams(rank, body.clone(), BundleWriter::periodic);
+            self.send(&datagrams);
         }
         let relays = self.other_relays();
-        let mails = self.writer.tick_to_relays(&self.state.peers(), body, &relays);
-        self.send(&mails);
+        let datagrams = self.writer.tick_to_relays(&self.state.peers(), body, &relays);
+        self.send(&datagrams);
     }
 
-    fn relay_news(&mut self) {
+    fn relay_urgent_changes(&mut self) {
         let NoticeReach::Relay(rank, _) = self.reach else { return };
-        let mails = self.relay_mails(rank, facts_body(&self.state), BundleWriter::news);
-        self.send(&mails);
+        let datagrams = self.relay_datagrams(rank, facts_body(&self.state), BundleWriter::urgent);
+        self.send(&datagrams);
     }
 
-    fn relay_mails(
+    fn relay_datagrams(
         &mut self,
         rank: usize,
         body: NoticeBody,
-        compose: impl Fn(&mut BundleWriter, &RelayView<'_>) -> Vec<NoticeMail>,
-    ) -> Vec<NoticeMail> {
+        compose: impl Fn(&mut BundleWriter, &RelayView<'_>) -> Vec<OutgoingDatagram>,
+    ) -> Vec<OutgoingDatagram> {
         let drains = self.state.drains();
         let own = self.writer.facts(body);
         let peers = self.state.peers();
@@ -181,31 +181,31 @@
         }
     }
 
-    fn send(&self, mails: &[NoticeMail]) {
-        mails.iter().for_each(|mail| mail.send(&self.socket));
+    fn send(&self, datagrams: &[OutgoingDatagram]) {
+        datagrams.iter().for_each(|datagram| datagram.send(&self.socket));
     }
 
-    fn hear(&mut self, bytes: &[u8]) {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
         let reply = match Datagram::decode(bytes) {
-            Some(Datagram::Notice(notice)) => hear_notice(&self.state, *notice),
-            Some(Datagram::Bundle(bundle)) => self.hear_bundle(bundle),
+            Some(Datagram::Notice(notice)) => handle_notice(&self.state, *notice),
+            Some(Datagram::Bundle(bundle)) => self.handle_bundle(bundle),
             // Entries take no part in transfers.
             Some(Datagram::Notes(_)) | None => None,
         };
         if let Some(reply) = reply {
-            let mail = self.answer(reply);
-            mail.send(&self.socket);
+            let datagram = self.compose_reply(reply);
+            datagram.send(&self.socket);
         }
     }
 
-    fn hear_bundle(&mut self, mut bundle: PeerBundle) -> Option<ReplyDue> {
+    fn handle_bundle(&mut self, mut bundle: PeerBundle) -> Option<Reply> {
         let state = self.state.clone();
         let now = state.now();
         let own = state.settings.node.control;
         if bundle.domain == DomainKey::from(&state.settings.node.domain) {
             self.relays.record_message(now, bundle.from, bundle.age_of(own));
         }
-        self.bundles.hear(now, own, &mut bundle);
+        self.bundles.receive(now, own, &mut bundle);
         for roster in &bundle.rosters {
             state.peers().apply_roster(now, roster);
         }
@@ -213,20 +213,20 @@
         for relayed in bundle.notices {
             let notice = relayed.notice.clone();
             let outcome = state.peers().apply_relayed(now, relayed.notice, relayed.age);
-            changing |= take_facts(&state, &outcome, &notice);
+            changing |= apply_notice(&state, &outcome, &notice);
         }
-        changing.then_some(ReplyDue::Relays)
+        changing.then_some(Reply::Relays)
     }
 
-    fn answer(&mut self, reply: ReplyDue) -> NoticeMail {
+    fn compose_reply(&mut self, reply: Reply) -> OutgoingDatagram {
         let state = &self.state;
         let drains = state.drains();
         let body = NoticeBody { drains, ..facts_body(state) };
         match reply {
-            ReplyDue::Drain(to) => {
-                NoticeMail { bytes: self.writer.write(body, Vec::new()), targets: vec![to] }
+            Reply::Drain(to) => {
+                OutgoingDatagram { bytes: self.writer.write(body, Vec::new()), targets: vec![to] }
             }
-            ReplyDue::Names(to, domain) => {
+            Reply::Names(to, domain) => {
                 let turn = rand::rng().random_range(0..MAX_ADVERTISED_PEERS * 4);
                 let names = state.peers().peers_to_advertise_in(domain, turn);
                 let loads = state.servers().own_loads();
@@ -235,14 +235,14 @@
                 let leaving = if names.is_empty() { Vec::new() } else { body.leaving };
                 let body =
                     NoticeBody { leaving, draining_lives: Vec::new(), limits: Vec::new(), ..body };
-                NoticeMail { bytes: self.writer.write(body, names), targets: vec![to] }
+                OutgoingDatagram { bytes: self.writer.write(body, names), targets: vec![to] }
             }
-            ReplyDue::Relays => {
+            Reply::Relays => {
                 let loads = state.servers().own_loads();
                 let wanted = state.wanted_notices();
                 let body = NoticeBody { loads, wanted, ..body };
                 let targets = self.other_relays();
-                NoticeMail { bytes: self.writer.write(body, Vec::new()), targets }
+                OutgoingDatagram { bytes: self.writer.write(body, Vec::new()), targets }
             }
         }
     }
@@ -250,11 +250,11 @@
 
 /// What an entry tells at a tick; with `speaks`, what its failure domain has in progress as well, whatever
 /// its place there.
-fn entry_body(state: &EntryState, speaks: bool) -> NoticeBody {
+fn entry_body(state: &EntryState, reports_domain: bool) -> NoticeBody {
     let loads = state.servers().own_loads();
     let drains = state.drains();
     let peers = state.peers();
-    let domain_loads = (speaks || peers.is_domain_reporter()).then(|| {
+    let domain_loads = (reports_domain || peers.is_domain_reporter()).then(|| {
         let mut sums = peers.near_loads();
         for own in &loads {
             let sum = sums.entry(own.server).or_default();
@@ -288,20 +288,20 @@
 }
 
 /// Takes in a notice; the sender, if it is to be answered at once.
-fn hear_notice(state: &EntryState, notice: PeerNotice) -> Option<ReplyDue> {
+fn handle_notice(state: &EntryState, notice: PeerNotice) -> Option<Reply> {
     let facts = notice.clone();
     let changed: Vec<u32> = notice.loads.iter().map(|load| load.server).collect();
     let outcome = state.peers().receive(state.now(), notice);
-    take_facts(state, &outcome, &facts);
+    apply_notice(state, &outcome, &facts);
     state.refresh_loads_of(&changed);
-    let found = outcome.joined.then_some(ReplyDue::Names(facts.from, facts.domain));
+    let found = outcome.joined.then_some(Reply::Names(facts.from, facts.domain));
     let server = facts.server.filter(|server| server.changing);
-    server.map(|_| ReplyDue::Drain(facts.from)).or(found)
+    server.map(|_| Reply::Drain(facts.from)).or(found)
 }
 
 /// Takes in what a notice says besides its sender's load; tells whether a server has said that it is
 /// about to change.
-fn take_facts(state: &EntryState, outcome: &NoticeOutcome, notice: &PeerNotice) -> bool {
+fn apply_notice(state: &EntryState, outcome: &NoticeOutcome, notice: &PeerNotice) -> bool {
     state.merge_wanted_versions(&notice.wanted);
     if outcome.after_disconnect {
         state.reread_store();
--- a/crates/daemon/src/direct/facts.rs
+++ b/crates/daemon/src/direct/facts.rs
@@ -16,77 +16,77 @@
 use crate::decisions;
 
 /// How long a watch waits at a process that stands by: those that watch tell it of changes.
-const STANDBY_WATCH_TIME: Duration = Duration::from_secs(29);
+const STANDBY_WATCH_WAIT: Duration = Duration::from_secs(29);
 
 /// The same at a process that watches. A watch may be lost without a word: sent while the store was
 /// silent, or on a connection that is silent for good. Where all of them are lost nobody knows more
 /// than anybody else, so that only the end of the wait shows it. Changes are due two seconds after
-/// they are made, from three seconds after the trouble on: with [`WATCH_SILENCE`], a list and a
+/// they are made, from three seconds after the trouble on: with [`WATCH_SILENCE_TIMEOUT`], a list and a
 /// notice, 2.6 s have passed by then.
-const WATCH_TIME: Duration = Duration::from_millis(1500);
+const WATCH_WAIT: Duration = Duration::from_millis(1500);
 
 /// The same for wanted weights, which are due after eight seconds and more.
-const WEIGHTS_WATCH_TIME: Duration = Duration::from_millis(3000);
+const WEIGHTS_WATCH_WAIT: Duration = Duration::from_millis(3000);
 
 /// The same for failure domains that are being emptied, which get nothing new five seconds later.
-const EVACUATIONS_WATCH_TIME: Duration = Duration::from_millis(2500);
+const EVACUATIONS_WATCH_WAIT: Duration = Duration::from_millis(2500);
 
 /// Least part of these times that is drawn, so that nodes do not call together, in percent.
-const LEAST_WATCH_PERCENT: u32 = 85;
+const MIN_WATCH_WAIT_PERCENT: u32 = 85;
 
 /// Silence after the end of its wait from which a watch counts as lost, beside the time that the
 /// store took for the last list: far longer than the answer of a store that is slow.
-const WATCH_SILENCE: Duration = Duration::from_millis(500);
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Most of that time that is added: the list may have been large, and its link narrow.
-const MOST_ANSWER_TIME: Duration = Duration::from_millis(1000);
+const MAX_LIST_TIME_ALLOWANCE: Duration = Duration::from_millis(1000);
 
 /// First pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1500);
 
 /// Silence of a list after which another call joins it: longer than the answer of a store that is slow,
 /// and well before a change is due that was accepted while nothing came.
-const LIST_SILENCE: Duration = Duration::from_millis(1000);
+const LIST_HEDGE_DELAY: Duration = Duration::from_millis(1000);
 
 /// The same for wanted weights: they are due after eight seconds and more, and every process tells
 /// them to every other.
-const WEIGHTS_SILENCE: Duration = Duration::from_millis(3000);
+const WEIGHTS_HEDGE_DELAY: Duration = Duration::from_millis(3000);
 
 /// Rest after a watch brought something, in which further changes gather: each call is priced, and
 /// a server that leaves serves on for two seconds at least.
-const SERVERS_REST: Duration = Duration::from_millis(800);
+const SERVERS_BATCH_DELAY: Duration = Duration::from_millis(800);
 
 /// The same for a reader that stands by: what the one that watches has read it hears in notices, and
 /// of servers that leave from every failure domain.
-const STANDBY_SERVERS_REST: Duration = Duration::from_millis(2000);
+const STANDBY_SERVERS_BATCH_DELAY: Duration = Duration::from_millis(2000);
 
-fn rest_after(topic: FactTopic, duty: ReaderDuty) -> Duration {
-    match (topic, duty) {
-        (FactTopic::Servers, ReaderDuty::Watches) => SERVERS_REST,
-        (FactTopic::Servers, ReaderDuty::StandsBy) => STANDBY_SERVERS_REST,
+fn batch_delay(topic: FactTopic, role: ReaderRole) -> Duration {
+    match (topic, role) {
+        (FactTopic::Servers, ReaderRole::Active) => SERVERS_BATCH_DELAY,
+        (FactTopic::Servers, ReaderRole::Standby) => STANDBY_SERVERS_BATCH_DELAY,
         (FactTopic::Plan | FactTopic::Weights | FactTopic::Evacuations, _) => Duration::ZERO,
     }
 }
 
 /// How long the next watch waits.
-fn watch_time(topic: FactTopic, duty: ReaderDuty) -> Duration {
-    let most = match (duty, topic) {
-        (ReaderDuty::StandsBy, _) => return STANDBY_WATCH_TIME,
-        (ReaderDuty::Watches, FactTopic::Weights) => WEIGHTS_WATCH_TIME,
-        (ReaderDuty::Watches, FactTopic::Evacuations) => EVACUATIONS_WATCH_TIME,
-        (ReaderDuty::Watches, FactTopic::Plan | FactTopic::Servers) => WATCH_TIME,
+fn watch_wait(topic: FactTopic, role: ReaderRole) -> Duration {
+    let most = match (role, topic) {
+        (ReaderRole::Standby, _) => return STANDBY_WATCH_WAIT,
+        (ReaderRole::Active, FactTopic::Weights) => WEIGHTS_WATCH_WAIT,
+        (ReaderRole::Active, FactTopic::Evacuations) => EVACUATIONS_WATCH_WAIT,
+        (ReaderRole::Active, FactTopic::Plan | FactTopic::Servers) => WATCH_WAIT,
     };
-    most * rand::rng().random_range(LEAST_WATCH_PERCENT..=100) / 100
+    most * rand::rng().random_range(MIN_WATCH_WAIT_PERCENT..=100) / 100
 }
 
 /// Time for which a list may be silent, with jitter so that nodes do not call together.
-fn silence_before(topic: FactTopic) -> Duration {
+fn hedge_delay(topic: FactTopic) -> Duration {
     let most = match topic {
-        FactTopic::Plan | FactTopic::Servers | FactTopic::Evacuations => LIST_SILENCE,
-        FactTopic::Weights => WEIGHTS_SILENCE,
+        FactTopic::Plan | FactTopic::Servers | FactTopic::Evacuations => LIST_HEDGE_DELAY,
+        FactTopic::Weights => WEIGHTS_HEDGE_DELAY,
     };
     most.mul_f64(rand::rng().random_range(0.7..=1.0))
 }
@@ -98,18 +98,18 @@
     /// Notes whether the last call was answered.
     fn note(&self, answered: bool);
     /// What this process has to do beside the others that read the topic.
-    fn duty(&self) -> ReaderDuty {
-        ReaderDuty::Watches
+    fn role(&self) -> ReaderRole {
+        ReaderRole::Active
     }
 }
 
 /// What a process that reads a topic has to do beside others of its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReaderDuty {
+pub enum ReaderRole {
     /// Others rely on it: it must notice by itself when its watch is lost.
-    Watches,
+    Active,
     /// It reads in case the one that watches stops: its calls may be rare.
-    StandsBy,
+    Standby,
 }
 
 /// A topic that is always read.
@@ -126,38 +126,38 @@
 
 /// Looks in a row that must find a gate closed, or its duty another one, before a watch is ended: one
 /// second.
-const CLOSED_LOOKS: u32 = 5;
+const CLOSED_GATE_POLLS: u32 = 5;
 
 /// How often a closed gate is looked at.
-const GATE_PAUSE: Duration = Duration::from_millis(200);
+const GATE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The same at first, when others wait for what is read.
-const FIRST_GATE_PAUSE: Duration = Duration::from_millis(50);
+const STARTUP_GATE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time for which a gate is looked at more often.
-const FIRST_TIME: Duration = Duration::from_secs(2);
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
 /// Looks at a gate until a watch that was sent with `duty` is not the right one any more: the gate
 /// has been closed for some time, or its process has to watch and did not when it was sent.
-async fn outdated(gate: &dyn ReadGate, duty: ReaderDuty) {
-    let is_right = || gate.is_open() && (gate.duty() == duty || duty == ReaderDuty::Watches);
-    let mut looks = 0;
-    while looks < CLOSED_LOOKS {
-        tokio::time::sleep(GATE_PAUSE).await;
-        looks = if is_right() { 0 } else { looks + 1 };
+async fn watch_obsolete(gate: &dyn ReadGate, role: ReaderRole) {
+    let is_right = || gate.is_open() && (gate.role() == role || role == ReaderRole::Active);
+    let mut polls = 0;
+    while polls < CLOSED_GATE_POLLS {
+        tokio::time::sleep(GATE_POLL_INTERVAL).await;
+        polls = if is_right() { 0 } else { polls + 1 };
     }
 }
 
 /// What a follower hands over.
 #[derive(Debug, Clone)]
-pub enum FactNews {
+pub enum FactUpdate {
     /// Everything there is; whatever is not in it is gone.
     All(FactList),
     /// What a watch brought.
     Changes(FactChanges),
 }
 
-impl FactNews {
+impl FactUpdate {
     /// The place up to which the store has said everything.
     pub fn covered(&self) -> ChangeMark {
         match self {
@@ -184,37 +184,37 @@
 }
 
 /// Pause after the `failures`th failure in a row, with jitter so that nodes do not call together.
-pub fn pause_after(failures: u32) -> Duration {
-    let doubled = FIRST_PAUSE * (1 << failures.clamp(1, 6).saturating_sub(1));
-    let most = doubled.min(LONGEST_PAUSE).as_millis() as u64;
+pub fn retry_delay(failures: u32) -> Duration {
+    let doubled = INITIAL_RETRY_DELAY * (1 << failures.clamp(1, 6).saturating_sub(1));
+    let most = doubled.min(MAX_RETRY_DELAY).as_millis() as u64;
     Duration::from_millis(rand::rng().random_range(most / 2..=most))
 }
 
 /// Follows `topic` for ever and hands news to `take`; whoever knows that there is something newer
-/// notifies `nudge`, upon which everything is listed again.
+/// notifies `refresh`, upon which everything is listed again.
 ///
 /// A watch that broke off is never taken up again where it was: a store that has lost part of its
 /// history may let it wait as if nothing had changed.
 pub async fn follow(
     store: Arc<dyn FactStore>,
     topic: FactTopic,
-    nudge: Arc<Notify>,
+    refresh: Arc<Notify>,
     gate: Arc<dyn ReadGate>,
-    mut take: impl FnMut(FactNews) + Send,
+    mut apply: impl FnMut(FactUpdate) + Send,
 ) {
-    let mut reader = FactReader::new(store, topic, nudge, gate);
+    let mut reader = FactReader::new(store, topic, refresh, gate);
     loop {
-        reader.opened().await;
+        reader.wait_until_open().await;
         let list = reader.list(Freshness::Current).await;
         let mut at = list.at;
-        take(FactNews::All(list));
+        apply(FactUpdate::All(list));
         while let Some(changes) = reader.watch(at).await {
             at = changes.at;
             let is_news = !changes.changes.is_empty();
-            take(FactNews::Changes(changes));
+            apply(FactUpdate::Changes(changes));
             if is_news {
                 // Changes that come close together are one call.
-                tokio::time::sleep(rest_after(topic, reader.gate.duty())).await;
+                tokio::time::sleep(batch_delay(topic, reader.gate.role())).await;
             }
         }
     }
@@ -225,11 +225,11 @@
     store: Arc<dyn FactStore>,
     topic: FactTopic,
     /// Somebody knows that there is something newer.
-    nudge: Arc<Notify>,
+    refresh: Arc<Notify>,
     gate: Arc<dyn ReadGate>,
     begun: Instant,
     /// Calls that have failed since the last one that was answered.
-    lost: Option<LostStore>,
+    outage: Option<StoreOutage>,
     /// Time that the store took for the last list.
     answer_time: Duration,
 }
@@ -239,20 +239,20 @@
     pub(super) fn new(
         store: Arc<dyn FactStore>,
         topic: FactTopic,
-        nudge: Arc<Notify>,
+        refresh: Arc<Notify>,
         gate: Arc<dyn ReadGate>,
     ) -> Self {
         let (begun, answer_time) = (Instant::now(), Duration::ZERO);
-        Self { store, topic, nudge, gate, begun, lost: None, answer_time }
+        Self { store, topic, refresh, gate, begun, outage: None, answer_time }
     }
 
     /// Waits until the gate opens or somebody knows that there is something newer.
-    async fn opened(&self) {
+    async fn wait_until_open(&self) {
         while !self.gate.is_open() {
-            let is_first = self.begun.elapsed() < FIRST_TIME;
-            let pause = if is_first { FIRST_GATE_PAUSE } else { GATE_PAUSE };
-            let nudged = tokio::time::timeout(pause, self.nudge.notified()).await;
-            if nudged.is_ok() {
+            let is_first = self.begun.elapsed() < STARTUP_PERIOD;
+            let pause = if is_first { STARTUP_GATE_POLL_INTERVAL } else { GATE_POLL_INTERVAL };
+            let refreshed = tokio::time::timeout(pause, self.refresh.notified()).await;
+            if refreshed.is_ok() {
                 return;
             }
         }
@@ -273,36 +273,36 @@
         };
         let mut calls = FuturesUnordered::new();
         calls.push(call());
-        let mut next = Instant::now() + silence_before(topic);
-        let mut come = 0;
+        let mut next = Instant::now() + hedge_delay(topic);
+        let mut received = 0;
         loop {
             tokio::select! {
                 Some((begun, listed)) = calls.next() => match listed {
                     Ok(list) => {
                         self.answer_time = begun.elapsed();
-                        self.note_answered();
+                        self.record_success();
                         return list;
                     }
                     Err(error) => {
-                        let pause = self.note_lost(StoreCall::List, begun, &error);
+                        let pause = self.record_failure(StoreCall::List, begun, &error);
                         if calls.is_empty() {
                             next = Instant::now() + pause;
                         }
                     }
                 },
                 () = tokio::time::sleep_until(next) => {
-                    let has_moved = progress.total() > come;
-                    come = progress.total();
+                    let has_moved = progress.total() > received;
+                    received = progress.total();
                     if calls.is_empty() || !has_moved {
                         if !calls.is_empty() {
                             self.gate.note(false);
                         }
                         calls.push(call());
                     }
-                    next = Instant::now() + silence_before(topic);
+                    next = Instant::now() + hedge_delay(topic);
                 }
-                () = self.nudge.notified() => {
-                    next = next.min(Instant::now() + FIRST_PAUSE);
+                () = self.refresh.notified() => {
+                    next = next.min(Instant::now() + INITIAL_RETRY_DELAY);
                 }
             }
         }
@@ -311,20 +311,20 @@
     /// Waits for changes after `at`; none where everything is to be listed anew.
     async fn watch(&mut self, at: StoreRevision) -> Option<FactChanges> {
         let begun = Instant::now();
-        let duty = self.gate.duty();
-        let wait = watch_time(self.topic, duty);
+        let role = self.gate.role();
+        let wait = watch_wait(self.topic, role);
         let watched = tokio::select! {
             watched = self.watched(at, wait) => watched,
-            () = self.nudge.notified() => {
+            () = self.refresh.notified() => {
                 decisions::note("store", "nudged", json!({ "topic": self.topic.as_str() }));
                 return None;
             }
-            () = outdated(&*self.gate, duty) => return None,
+            () = watch_obsolete(&*self.gate, role) => return None,
         };
         match watched {
             Ok(changes) => {
                 self.gate.note(true);
-                self.note_changes(begun, &changes);
+                self.log_changes(begun, &changes);
                 Some(changes)
             }
             Err(StoreFailure::HistoryGone) => {
@@ -332,7 +332,7 @@
                 None
             }
             Err(error) => {
-                let pause = self.note_lost(StoreCall::Watch, begun, &error);
+                let pause = self.record_failure(StoreCall::Watch, begun, &error);
                 tokio::time::sleep(pause).await;
                 None
             }
@@ -345,16 +345,18 @@
         at: StoreRevision,
         wait: Duration,
     ) -> Result<FactChanges, StoreFailure> {
-        let patience = WATCH_SILENCE + self.answer_time.min(MOST_ANSWER_TIME);
+        let silence_limit = WATCH_SILENCE_TIMEOUT + self.answer_time.min(MAX_LIST_TIME_ALLOWANCE);
         let progress = ByteProgress::default();
         let watch = self.store.watch(self.topic, at, wait, progress.clone());
         let mut watch = std::pin::pin!(watch);
-        let (mut silence, mut come) = (wait + patience, 0);
+        let (mut silence, mut received) = (wait + silence_limit, 0);
         loop {
             match tokio::time::timeout(silence, &mut watch).await {
                 Ok(watched) => return watched,
                 // A large change is on its way over a narrow link.
-                Err(_) if progress.total() > come => (silence, come) = (patience, progress.total()),
+                Err(_) if progress.total() > received => {
+                    (silence, received) = (silence_limit, progress.total())
+                }
                 Err(_) => return Err(silent_for(silence)),
             }
         }
@@ -362,7 +364,7 @@
 
     /// Writes down how long a watch that brought something had been open: where the next one of
     /// these lines is missing, the watch after it was never answered.
-    fn note_changes(&self, begun: Instant, changes: &FactChanges) {
+    fn log_changes(&self, begun: Instant, changes: &FactChanges) {
         if changes.changes.is_empty() {
             return;
         }
@@ -373,19 +375,24 @@
         decisions::note("store", "watch_brought", fields);
     }
 
-    fn note_answered(&mut self) {
+    fn record_success(&mut self) {
         self.gate.note(true);
-        if let Some(lost) = self.lost.take() {
-            lost.end();
+        if let Some(outage) = self.outage.take() {
+            outage.end();
         }
     }
 
     /// Notes a call that failed, and tells how long to wait before the next one.
-    fn note_lost(&mut self, call: StoreCall, begun: Instant, error: &StoreFailure) -> Duration {
+    fn record_failure(
+        &mut self,
+        call: StoreCall,
+        begun: Instant,
+        error: &StoreFailure,
+    ) -> Duration {
         self.gate.note(false);
-        let lost = self.lost.get_or_insert_with(|| LostStore::new(self.topic, begun));
-        lost.note(call, begun, error);
-        pause_after(lost.failures)
+        let outage = self.outage.get_or_insert_with(|| StoreOutage::new(self.topic, begun));
+        outage.note(call, begun, error);
+        retry_delay(outage.failures)
     }
 }
 
@@ -411,13 +418,13 @@
 
 /// A store whose calls fail.
 #[derive(Debug)]
-struct LostStore {
+struct StoreOutage {
     topic: FactTopic,
     since: Instant,
     failures: u32,
 }
 
-impl LostStore {
+impl StoreOutage {
     fn new(topic: FactTopic, since: Instant) -> Self {
         Self { topic, since, failures: 0 }
     }
@@ -442,10 +449,10 @@
 }
 
 /// The facts in news that are there and can be read.
-pub fn set_facts(news: FactNews) -> Vec<Fact> {
+pub fn readable_facts(news: FactUpdate) -> Vec<Fact> {
     let named: Vec<NamedFact> = match news {
-        FactNews::All(list) => list.facts,
-        FactNews::Changes(changes) => changes
+        FactUpdate::All(list) => list.facts,
+        FactUpdate::Changes(changes) => changes
             .changes
             .into_iter()
             .filter_map(|change| match change {
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -96,12 +96,14 @@
     }
 }
 
-fn decode_suspect(told: &wire::NoticeSuspect) -> Option<SuspectNotice> {
-    let (digest, life) = (RequestDigest(told.digest), LifeKey(told.life));
-    Some(match told.word {
+fn decode_suspect(encoded: &wire::NoticeSuspect) -> Option<SuspectNotice> {
+    let (digest, life) = (RequestDigest(encoded.digest), LifeKey(encoded.life));
+    Some(match encoded.word {
         ENDED_SILENT => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::Silent },
         ENDED_BEGUN => SuspectNotice::Ended { digest, life, run: ProgressAtEnd::Begun },
-        REFUSED => SuspectNotice::Refused { digest, left: Duration::from_secs(told.left_s.into()) },
+        REFUSED => {
+            SuspectNotice::Refused { digest, left: Duration::from_secs(encoded.left_s.into()) }
+        }
         CLEARED => SuspectNotice::Cleared { digest },
         // A newer process may tell what this one does not know.
         _ => return None,
@@ -116,9 +118,9 @@
     })
 }
 
-fn decode_evacuated(told: wire::NoticeEvacuated) -> EvacuatedDomains {
-    let domains = told.domains.into_iter().map(DomainKey);
-    EvacuatedDomains { mark: ChangeMark(told.mark), domains: domains.collect() }
+fn decode_evacuated(encoded: wire::NoticeEvacuated) -> EvacuatedDomains {
+    let domains = encoded.domains.into_iter().map(DomainKey);
+    EvacuatedDomains { mark: ChangeMark(encoded.mark), domains: domains.collect() }
 }
 
 fn encode_wanted(wanted: &WantedNotice) -> wire::NoticeWanted {
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -18,12 +18,12 @@
 use tokio::net::UdpSocket;
 
 pub use super::{
-    datagram::MOST_DATAGRAM,
+    datagram::MAX_DATAGRAM_BYTES,
     notice_codec::{decode, encode},
 };
 
 /// How often notices go out.
-pub const NOTICE_PAUSE: Duration = Duration::from_millis(100);
+pub const NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Ticks after which a notice goes to the own failure domain although nothing has changed.
 const NEAR_TICKS: u64 = 5;
@@ -32,35 +32,35 @@
 const FAR_TICKS: u64 = 15;
 
 /// Ticks between two notices of what a whole failure domain has in progress.
-const DOMAIN_TICKS: u64 = 1;
+const DOMAIN_REPORT_TICKS: u64 = 1;
 
 /// Ticks between notices to addresses that may be peers, at first: whoever has just started knows
 /// only some, which name others.
-const FIRST_CANDIDATE_TICKS: u64 = 1;
+const STARTUP_CANDIDATE_TICKS: u64 = 1;
 
 /// The same later on: most of those that have not answered by then are gone.
 const CANDIDATE_TICKS: u64 = 15;
 
 /// Ticks for which addresses that may be peers are tried more often.
-const FIRST_TICKS: u64 = 30;
+const STARTUP_TICKS: u64 = 30;
 
 /// Addresses that may be peers which are tried in one tick. After a loss of power of hundreds of
 /// processes each of them knows hundreds of addresses: all of them tried by all processes ten times a
 /// second are more than the links between regions carry.
-const CANDIDATES_AT_ONCE: usize = 32;
+const CANDIDATES_PER_TICK: usize = 32;
 
 /// Ticks after a start in which an entry does not speak for its failure domain: it does not know yet
 /// whether others are there that come before it.
-const FIRST_SPEAKING_TICK: u64 = 5;
+const FIRST_DOMAIN_REPORT_TICK: u64 = 5;
 
 /// Ticks between two words of leaving servers to other failure domains, if nothing new is known.
 const LEAVING_TICKS: u64 = 5;
 
 /// Ticks between notices that name peers.
-const NAMING_TICKS: u64 = 10;
+const ADVERTISE_TICKS: u64 = 10;
 
 /// Peers that are told names at one time: what one hears, all hear before long.
-const NAMING_PEERS: usize = 3;
+const ADVERTISE_TARGETS: usize = 3;
 
 /// Ticks between two full lists of what an entry has in progress, where relays tell the rest.
 const FULL_LOAD_TICKS: u64 = 10;
@@ -74,7 +74,7 @@
     from: SocketAddr,
     kind: PeerKind,
     domain: DomainKey,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     tick: u64,
     last_loads: Vec<LoadNotice>,
@@ -118,14 +118,14 @@
 
 /// One datagram and whom it goes to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct NoticeMail {
+pub struct OutgoingDatagram {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// Whom it goes to.
     pub targets: Vec<SocketAddr>,
 }
 
-impl NoticeMail {
+impl OutgoingDatagram {
     /// Sends it; a datagram that cannot be sent is as good as lost, which is borne.
     pub fn send(&self, socket: &UdpSocket) {
         for target in &self.targets {
@@ -138,7 +138,7 @@
 #[derive(Debug, Clone, Copy)]
 struct TickDue {
     /// Everybody must hear at once.
-    news: bool,
+    server: bool,
     /// Every entry must hear again.
     repeated: bool,
     /// The loads are not what they were.
@@ -180,17 +180,22 @@
 impl NoticeWriter {
     /// The writer of a process that has just started.
     pub fn new(from: SocketAddr, kind: PeerKind, domain: DomainKey) -> Self {
-        Self::with_life(from, kind, domain, rand::rng().random())
+        Self::with_incarnation(from, kind, domain, rand::rng().random())
     }
 
     /// The same with a given number of this life of the process, which also decides in which ticks
     /// it says what is due every few of them.
-    pub fn with_life(from: SocketAddr, kind: PeerKind, domain: DomainKey, life: u64) -> Self {
+    pub fn with_incarnation(
+        from: SocketAddr,
+        kind: PeerKind,
+        domain: DomainKey,
+        incarnation: u64,
+    ) -> Self {
         Self {
             from,
             kind,
             domain,
-            life,
+            incarnation,
             sequence: 0,
             tick: 0,
             last_loads: Vec::new(),
@@ -204,13 +209,13 @@
         self.tick += 1;
         let facts = TickFacts::of(body);
         let due = TickDue {
-            news: body.server != self.last_server,
+            server: body.server != self.last_server,
             repeated: body.repeated,
             loads: body.loads != self.last_loads,
             facts: self.last_facts != facts,
             drains: self.last_drains != body.drains,
             near: self.tick.is_multiple_of(NEAR_TICKS),
-            far: self.is_turn(FAR_TICKS),
+            far: self.is_periodic_due(FAR_TICKS),
         };
         self.last_loads.clone_from(&body.loads);
         self.last_facts = facts;
@@ -226,11 +231,11 @@
         peers: &PeerTable,
         body: NoticeBody,
         relays: &[SocketAddr],
-    ) -> Vec<NoticeMail> {
+    ) -> Vec<OutgoingDatagram> {
         let due = self.begin_tick(&body);
-        let is_due = due.news || due.repeated || due.facts || due.drains || due.near;
+        let is_due = due.server || due.repeated || due.facts || due.drains || due.near;
         let mut targets = if is_due { relays.to_vec() } else { Vec::new() };
-        if self.kind == PeerKind::Entry && self.is_turn(FULL_LOAD_TICKS) {
+        if self.kind == PeerKind::Entry && self.is_periodic_due(FULL_LOAD_TICKS) {
             let entries = near_entries(peers).filter(|entry| !targets.contains(entry));
             targets.extend(entries.collect::<Vec<_>>());
         }
@@ -239,23 +244,24 @@
             return pings.into_iter().collect();
         }
         let bytes = self.write(NoticeBody { domain_loads: None, ..body }, Vec::new());
-        let mail = NoticeMail { bytes, targets };
-        std::iter::once(mail).chain(pings).collect()
+        let datagram = OutgoingDatagram { bytes, targets };
+        std::iter::once(datagram).chain(pings).collect()
     }
 
     /// Whether changes of load that nobody needs to hear at once are to be told at this tick, where
     /// relays tell the rest.
-    pub fn is_change_turn(&self) -> bool {
-        self.is_turn(CHANGE_TICKS)
+    pub fn load_changes_due(&self) -> bool {
+        self.is_periodic_due(CHANGE_TICKS)
     }
 
     /// The notices of this tick where everybody tells everybody.
-    pub fn tick(&mut self, peers: &PeerTable, body: NoticeBody) -> Vec<NoticeMail> {
+    pub fn tick(&mut self, peers: &PeerTable, body: NoticeBody) -> Vec<OutgoingDatagram> {
         let due = self.begin_tick(&body);
-        let mut mails = Vec::new();
-        let speaks = self.tick >= FIRST_SPEAKING_TICK && self.is_turn(DOMAIN_TICKS);
-        if let Some(loads) = body.domain_loads.clone().filter(|_| speaks) {
-            mails.push(self.domain_mail(peers, &body, loads, due.facts));
+        let mut datagrams = Vec::new();
+        let reports_domain =
+            self.tick >= FIRST_DOMAIN_REPORT_TICK && self.is_periodic_due(DOMAIN_REPORT_TICKS);
+        if let Some(loads) = body.domain_loads.clone().filter(|_| reports_domain) {
+            datagrams.push(self.domain_report(peers, &body, loads, due.facts));
         }
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
             peers.living().partition(|peer| peers.is_near(peer));
@@ -263,72 +269,72 @@
         let mut targets: Vec<SocketAddr> = near.map(|peer| peer.notice.from).collect();
         let far = far.into_iter().filter(|peer| self.is_far_due(due, peer));
         targets.extend(far.map(|peer| peer.notice.from));
-        mails.extend(self.pings(peers, &body));
+        datagrams.extend(self.pings(peers, &body));
         if !targets.is_empty() {
             let bytes = self.write(NoticeBody { domain_loads: None, ..body.clone() }, Vec::new());
-            mails.push(NoticeMail { bytes, targets });
+            datagrams.push(OutgoingDatagram { bytes, targets });
         }
-        if self.is_turn(NAMING_TICKS) {
-            mails.extend(self.naming_mail(peers, body));
+        if self.is_periodic_due(ADVERTISE_TICKS) {
+            datagrams.extend(self.advertisement(peers, body));
         }
-        mails
+        datagrams
     }
 
     fn is_near_due(&self, due: TickDue, peer: &Peer) -> bool {
         let entry = peer.notice.kind == PeerKind::Entry;
-        due.news || due.near || (entry && (due.repeated || due.loads || due.facts))
+        due.server || due.near || (entry && (due.repeated || due.loads || due.facts))
     }
 
     fn is_far_due(&self, due: TickDue, peer: &Peer) -> bool {
-        due.news || due.far || (peer.notice.kind == PeerKind::Entry && due.repeated)
+        due.server || due.far || (peer.notice.kind == PeerKind::Entry && due.repeated)
     }
 
     /// Whether something that is due every few ticks is due now; processes take different ticks.
-    fn is_turn(&self, ticks: u64) -> bool {
-        (self.tick + self.life % ticks).is_multiple_of(ticks)
+    fn is_periodic_due(&self, ticks: u64) -> bool {
+        (self.tick + self.incarnation % ticks).is_multiple_of(ticks)
     }
 
     /// A short word to addresses that may be peers, to so many of them by turns: whoever hears it
     /// answers.
-    fn pings(&mut self, peers: &PeerTable, body: &NoticeBody) -> Option<NoticeMail> {
-        if !self.is_candidates_turn() {
+    fn pings(&mut self, peers: &PeerTable, body: &NoticeBody) -> Option<OutgoingDatagram> {
+        if !self.is_candidates_due() {
             return None;
         }
         let candidates: Vec<SocketAddr> = peers.candidates().collect();
-        let start = (self.tick as usize * CANDIDATES_AT_ONCE).checked_rem(candidates.len())?;
+        let start = (self.tick as usize * CANDIDATES_PER_TICK).checked_rem(candidates.len())?;
         let turn = candidates.iter().cycle().skip(start);
-        let targets = turn.take(candidates.len().min(CANDIDATES_AT_ONCE)).copied().collect();
-        let told = NoticeBody {
+        let targets = turn.take(candidates.len().min(CANDIDATES_PER_TICK)).copied().collect();
+        let content = NoticeBody {
             plan: body.plan,
             servers: body.servers,
             reads_store: body.reads_store,
             server: body.server.clone(),
             ..NoticeBody::default()
         };
-        Some(NoticeMail { bytes: self.write(told, Vec::new()), targets })
+        Some(OutgoingDatagram { bytes: self.write(content, Vec::new()), targets })
     }
 
-    fn is_candidates_turn(&self) -> bool {
-        match self.tick < FIRST_TICKS {
-            true => self.tick.is_multiple_of(FIRST_CANDIDATE_TICKS),
-            false => self.is_turn(CANDIDATE_TICKS),
+    fn is_candidates_due(&self) -> bool {
+        match self.tick < STARTUP_TICKS {
+            true => self.tick.is_multiple_of(STARTUP_CANDIDATE_TICKS),
+            false => self.is_periodic_due(CANDIDATE_TICKS),
         }
     }
 
     /// What the own failure domain has in progress, for the entries of others.
-    fn domain_mail(
+    fn domain_report(
         &mut self,
         peers: &PeerTable,
         body: &NoticeBody,
         loads: Vec<LoadNotice>,
-        has_news: bool,
-    ) -> NoticeMail {
+        facts_changed: bool,
+    ) -> OutgoingDatagram {
         let far = peers.living().filter(|peer| !peers.is_near(peer));
         let entries = far.filter(|peer| peer.notice.kind == PeerKind::Entry);
         let targets = entries.map(|peer| peer.notice.from).collect();
-        let tells_leaving = has_news || self.is_turn(LEAVING_TICKS);
-        let leaving = if tells_leaving { body.leaving.clone() } else { Vec::new() };
-        let told = NoticeBody {
+        let includes_leaving = facts_changed || self.is_periodic_due(LEAVING_TICKS);
+        let leaving = if includes_leaving { body.leaving.clone() } else { Vec::new() };
+        let content = NoticeBody {
             plan: body.plan,
             servers: body.servers,
             leaving,
@@ -341,29 +347,29 @@
             domain_loads: Some(loads),
             ..NoticeBody::default()
         };
-        NoticeMail { bytes: self.write(told, Vec::new()), targets }
+        OutgoingDatagram { bytes: self.write(content, Vec::new()), targets }
     }
 
     /// Names of peers for a few of them, by turns.
-    fn naming_mail(&mut self, peers: &PeerTable, body: NoticeBody) -> Option<NoticeMail> {
-        let turn = (self.tick / NAMING_TICKS) as usize * NAMING_PEERS;
+    fn advertisement(&mut self, peers: &PeerTable, body: NoticeBody) -> Option<OutgoingDatagram> {
+        let turn = (self.tick / ADVERTISE_TICKS) as usize * ADVERTISE_TARGETS;
         let targets: Vec<SocketAddr> =
-            peers.peers_to_advertise(turn).into_iter().take(NAMING_PEERS).collect();
+            peers.peers_to_advertise(turn).into_iter().take(ADVERTISE_TARGETS).collect();
         let names = peers.peers_to_advertise(rand::rng().random_range(0..MAX_ADVERTISED_PEERS * 4));
         let bytes = self.write(NoticeBody { domain_loads: None, ..body }, names);
-        (!targets.is_empty()).then_some(NoticeMail { bytes, targets })
+        (!targets.is_empty()).then_some(OutgoingDatagram { bytes, targets })
     }
 
     /// What has changed at busy servers, for the entries of the own failure domain.
-    pub fn changes(&mut self, peers: &PeerTable, loads: Vec<LoadNotice>) -> NoticeMail {
+    pub fn changes(&mut self, peers: &PeerTable, loads: Vec<LoadNotice>) -> OutgoingDatagram {
         let targets = near_entries(peers).collect();
         let body = NoticeBody { loads, ..NoticeBody::default() };
-        NoticeMail { bytes: encode(&self.notice(body, Vec::new(), true)), targets }
+        OutgoingDatagram { bytes: encode(&self.notice(body, Vec::new(), true)), targets }
     }
 
     /// A notice besides the usual ones, to one peer that waits for it.
-    pub fn write(&mut self, body: NoticeBody, named: Vec<SocketAddr>) -> Vec<u8> {
-        encode(&self.notice(body, named, false))
+    pub fn write(&mut self, body: NoticeBody, advertised: Vec<SocketAddr>) -> Vec<u8> {
+        encode(&self.notice(body, advertised, false))
     }
 
     /// What this process tells of itself, for a relay to hand on.
@@ -375,7 +381,7 @@
     fn notice(
         &mut self,
         body: NoticeBody,
-        named: Vec<SocketAddr>,
+        advertised: Vec<SocketAddr>,
         changes_only: bool,
     ) -> PeerNotice {
         self.sequence += 1;
@@ -383,7 +389,7 @@
             from: self.from,
             kind: self.kind,
             domain: self.domain,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             sequence: self.sequence,
             plan: body.plan,
             servers: body.servers,
@@ -392,7 +398,7 @@
             limits: body.limits,
             suspects: body.suspects,
             reads_store: body.reads_store,
-            peers: named,
+            peers: advertised,
             loads: body.loads,
             changes_only,
             domain_loads: body.domain_loads,
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -33,11 +33,11 @@
     encoded: Mutex<Option<(PlanVersion, Bytes)>>,
     source: Mutex<PlanSource>,
     /// The last call to the store for the plan was answered.
-    store_answers: AtomicBool,
+    store_responds: AtomicBool,
     /// Another entry has a newer plan.
-    offered: Notify,
+    newer_offered: Notify,
     /// A newer plan has come into force.
-    taken: Notify,
+    applied: Notify,
 }
 
 impl Default for PlanCopy {
@@ -46,21 +46,21 @@
             routes: RwLock::default(),
             encoded: Mutex::default(),
             source: Mutex::default(),
-            store_answers: AtomicBool::new(true),
-            offered: Notify::new(),
-            taken: Notify::new(),
+            store_responds: AtomicBool::new(true),
+            newer_offered: Notify::new(),
+            applied: Notify::new(),
         }
     }
 }
 
 impl PlanCopy {
     fn source(&self) -> MutexGuard<'_, PlanSource> {
-        self.source.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.source.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// The routes in force; none before the first plan.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
-        self.routes.read().unwrap_or_else(|broken| broken.into_inner()).clone()
+        self.routes.read().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
     /// The version of the plan in force.
@@ -72,7 +72,7 @@
     pub fn encoded(&self) -> Option<Bytes> {
         let routes = self.routes()?;
         let version = routes.plan().version;
-        let mut encoded = self.encoded.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut encoded = self.encoded.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some((_, text)) = encoded.as_ref().filter(|(known, _)| *known == version) {
             return Some(text.clone());
         }
@@ -103,8 +103,8 @@
     }
 
     /// Takes over a plan if it is newer than the one in force; tells whether it is.
-    pub fn take(&self, now: Moment, plan: TrafficPlan, source: &str) -> bool {
-        let mut routes = self.routes.write().unwrap_or_else(|broken| broken.into_inner());
+    pub fn apply(&self, now: Moment, plan: TrafficPlan, source: &str) -> bool {
+        let mut routes = self.routes.write().unwrap_or_else(|poisoned| poisoned.into_inner());
         let before = routes.as_ref().map(|routes| routes.plan().version);
         if before.is_some_and(|version| version >= plan.version) {
             return false;
@@ -122,7 +122,7 @@
         *routes = Some(Arc::new(RouteTable::new(Arc::new(plan))));
         drop(routes);
         self.source().take_from_peer(now, ChangeMark(version.0));
-        self.taken.notify_waiters();
+        self.applied.notify_waiters();
         decisions::note("plan", "in_force", fields);
         true
     }
@@ -134,19 +134,19 @@
     }
 
     /// Notes whether the last call to the store for the plan was answered.
-    pub fn note_store(&self, answers: bool) {
-        self.store_answers.store(answers, Ordering::Relaxed);
+    pub fn record_store_call(&self, responds: bool) {
+        self.store_responds.store(responds, Ordering::Relaxed);
     }
 
     /// Whether the store answers this entry's calls for the plan, as far as it knows: a watch that
     /// has not brought what others have does not count as answered.
     pub fn reads_store(&self, now: Moment) -> bool {
-        self.store_answers.load(Ordering::Relaxed) && !self.source().is_watch_overdue(now)
+        self.store_responds.load(Ordering::Relaxed) && !self.source().is_watch_overdue(now)
     }
 
     /// Another entry has the plan of `version`; tells whether the store is to be read because of
     /// that.
-    pub fn note_told(&self, now: Moment, version: PlanVersion, is_reader: bool) -> bool {
+    pub fn record_peer_version(&self, now: Moment, version: PlanVersion, is_reader: bool) -> bool {
         let mut source = self.source();
         source.record_role(now, is_reader);
         source.record_peer_position(now, ChangeMark(version.0));
@@ -154,7 +154,7 @@
         let is_behind = source.age().behind(now).is_some();
         drop(source);
         if is_behind {
-            self.offered.notify_one();
+            self.newer_offered.notify_one();
         }
         reads
     }
@@ -170,13 +170,13 @@
     }
 
     /// A holder was asked and did not hand the plan over.
-    pub fn note_failed(&self, holder: SocketAddr) {
+    pub fn record_failed_fetch(&self, holder: SocketAddr) {
         self.source().record_failure(holder);
     }
 
     /// Waits until another entry has a newer plan.
-    pub async fn offered(&self) {
-        self.offered.notified().await;
+    pub async fn newer_offered(&self) {
+        self.newer_offered.notified().await;
     }
 
     /// Waits until a plan newer than `version` is in force, at most for `time`; tells whether one
@@ -184,11 +184,11 @@
     pub async fn newer_than(&self, version: PlanVersion, time: Duration) -> bool {
         let until = Instant::now() + time;
         loop {
-            let taken = self.taken.notified();
+            let applied = self.applied.notified();
             if self.version() > version {
                 return true;
             }
-            if tokio::time::timeout_at(until, taken).await.is_err() {
+            if tokio::time::timeout_at(until, applied).await.is_err() {
                 return self.version() > version;
             }
         }
--- a/crates/daemon/src/direct/plan_sync.rs
+++ b/crates/daemon/src/direct/plan_sync.rs
@@ -23,24 +23,24 @@
 
 /// Time for a plan to come: a dozen entries may ask at once over one link between regions, and a
 /// plan of a megabyte takes 8 s over 1 Mbit/s. Given up earlier, all of it would be asked for again.
-const FETCH_TIME: Duration = Duration::from_secs(20);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Silence of a holder after which another one is asked: a round trip takes a few milliseconds, and
 /// a full link holds bytes back for less than that.
-const FETCH_SILENCE: Duration = Duration::from_millis(400);
+const FETCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Largest plan: the store holds values of a megabyte, and this form is not much longer.
-const MOST_PLAN: usize = 4 << 20;
+const MAX_PLAN_BYTES: usize = 4 << 20;
 
 /// Holders that are asked at a time.
-const MOST_FETCHES: usize = 2;
+const MAX_CONCURRENT_FETCHES: usize = 2;
 
 /// Pause between two looks whom to ask.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Pause after a plan did not come, or was not newer: a holder that cannot help now is not to be
 /// asked for hundreds of kilobytes many times a second.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Hands out the plan in force, and the list of servers, to other processes.
 pub async fn serve(state: Arc<EntryState>, listener: TcpListener) {
@@ -78,13 +78,14 @@
     path: &str,
 ) -> Result<TrafficPlan, String> {
     // A connection that has rested may have been cut off meanwhile without a word.
-    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE);
-    let call = connections.call(address, request, MOST_PLAN, FETCH_TIME);
-    let answer = call.await.map_err(|error| format!("{address}: {}", error.message))?;
-    if answer.status != StatusCode::OK {
-        return Err(format!("{address}: it answered {} and no plan", answer.status));
+    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
+    let call = connections.call(address, request, MAX_PLAN_BYTES, FETCH_TIMEOUT);
+    let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
+    if response.status != StatusCode::OK {
+        return Err(format!("{address}: it answered {} and no plan", response.status));
     }
-    let text = std::str::from_utf8(&answer.body).map_err(|error| format!("{address}: {error}"))?;
+    let text =
+        std::str::from_utf8(&response.body).map_err(|error| format!("{address}: {error}"))?;
     let plan: TrafficPlan = from_json(text).map_err(|error| format!("{address}: {error}"))?;
     plan.check().map_err(|error| format!("{address}: {error}"))?;
     Ok(plan)
@@ -94,9 +95,9 @@
 pub async fn run(state: Arc<EntryState>) {
     let connections = Connections::default();
     loop {
-        state.plan.offered().await;
+        state.plan.newer_offered().await;
         while state.plan.is_behind(state.now()) {
-            bring_in(&state, &connections).await;
+            fetch_newer(&state, &connections).await;
         }
     }
 }
@@ -104,33 +105,33 @@
 /// Asks holders for the newer plan until one has handed it over, or it has come another way.
 ///
 /// A holder that has not done so after a while is joined by another one: its link may be narrow.
-async fn bring_in(state: &EntryState, connections: &Connections) {
+async fn fetch_newer(state: &EntryState, connections: &Connections) {
     let mut calls = FuturesUnordered::new();
     let mut next = Instant::now();
     while state.plan.is_behind(state.now()) {
         tokio::select! {
             Some((holder, fetched)) = calls.next() => {
-                if !take_fetched(state, fetched) {
-                    state.plan.note_failed(holder);
-                    next = next.min(Instant::now() + RETRY_PAUSE);
+                if !apply_fetched(state, fetched) {
+                    state.plan.record_failed_fetch(holder);
+                    next = next.min(Instant::now() + RETRY_DELAY);
                 }
             }
-            () = tokio::time::sleep_until(next), if calls.len() < MOST_FETCHES => {
-                next = Instant::now() + LOOK_PAUSE;
+            () = tokio::time::sleep_until(next), if calls.len() < MAX_CONCURRENT_FETCHES => {
+                next = Instant::now() + POLL_INTERVAL;
                 if let Some(holder) = state.newer_plan_holder() {
                     calls.push(async move { (holder, fetch(connections, holder).await) });
                     // Whoever is asked besides is to be somebody else.
-                    state.plan.note_failed(holder);
-                    next = Instant::now() + FETCH_SILENCE;
+                    state.plan.record_failed_fetch(holder);
+                    next = Instant::now() + FETCH_SILENCE_TIMEOUT;
                 }
             }
-            () = tokio::time::sleep(LOOK_PAUSE) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
 /// Takes over what a holder handed over; tells whether that was newer.
-fn take_fetched(state: &EntryState, fetched: Result<TrafficPlan, String>) -> bool {
+fn apply_fetched(state: &EntryState, fetched: Result<TrafficPlan, String>) -> bool {
     match fetched {
         Ok(plan) => {
             let newer = plan.version > state.plan_version();
--- a/crates/daemon/src/direct/relay_mail.rs
+++ b/crates/daemon/src/direct/relay_mail.rs
@@ -15,7 +15,7 @@
     time::Moment,
 };
 
-use super::{datagram::Datagram, notices::NoticeMail};
+use super::{datagram::Datagram, notices::OutgoingDatagram};
 
 /// Turns between two lists of who lives in the own failure domain, for its members.
 const NEAR_ROSTER_TURNS: u64 = 2;
@@ -34,7 +34,7 @@
 const DRAIN_TURNS: u64 = 3;
 
 /// Largest bundle, in bytes: what is larger is cut in two.
-const MOST_BUNDLE: usize = 6 << 10;
+const MAX_BUNDLE_BYTES: usize = 6 << 10;
 
 /// What a relay knows at one turn.
 pub struct RelayView<'a> {
@@ -56,7 +56,7 @@
     domain: DomainKey,
     turn: u64,
     outbox: RelayOutbox,
-    told_drains: BTreeMap<SocketAddr, DrainReport>,
+    sent_drains: BTreeMap<SocketAddr, DrainReport>,
     far_relays: FarRelays,
 }
 
@@ -67,13 +67,13 @@
             domain,
             turn: 0,
             outbox: RelayOutbox::default(),
-            told_drains: BTreeMap::new(),
+            sent_drains: BTreeMap::new(),
             far_relays: FarRelays::default(),
         }
     }
 
     /// Takes in a bundle that came to `own`, and takes out what its sender cannot know.
-    pub fn hear(&mut self, now: Moment, own: SocketAddr, bundle: &mut PeerBundle) {
+    pub fn receive(&mut self, now: Moment, own: SocketAddr, bundle: &mut PeerBundle) {
         if bundle.domain == self.domain {
             return;
         }
@@ -101,35 +101,35 @@
     }
 
     /// What is due at a regular turn, every 100 ms.
-    pub fn turn(&mut self, view: &RelayView<'_>) -> Vec<NoticeMail> {
+    pub fn periodic(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         self.turn += 1;
         let repeats = self.turn.is_multiple_of(NEAR_ROSTER_TURNS);
         let due = self.outbox.take_due(view.now, view.peers, repeats);
-        let mut mails = self.member_mails(view, &due);
-        mails.extend(self.outward_mail(view, &due));
-        mails.extend(self.drain_mails(view, self.turn.is_multiple_of(DRAIN_TURNS)));
-        mails
+        let mut outgoing = self.member_datagrams(view, &due);
+        outgoing.extend(self.outward_datagrams(view, &due));
+        outgoing.extend(self.drain_datagrams(view, self.turn.is_multiple_of(DRAIN_TURNS)));
+        outgoing
     }
 
     /// What cannot wait for the next turn.
-    pub fn news(&mut self, view: &RelayView<'_>) -> Vec<NoticeMail> {
+    pub fn urgent(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         let due = self.outbox.take_due(view.now, view.peers, false);
-        let mut mails = self.drain_mails(view, false);
+        let mut outgoing = self.drain_datagrams(view, false);
         let agents = self.bundle(view, Vec::new(), due.agents.clone());
         let entries = [due.agents, due.entries].concat();
         let entries = self.bundle(view, Vec::new(), entries);
         let outward = self.bundle(view, Vec::new(), due.near_agents);
-        mails.extend(mail(agents, members(view, PeerKind::Agent)));
-        mails.extend(mail(entries, members(view, PeerKind::Entry)));
-        mails.extend(mail(outward, self.far_targets(view)));
-        mails.extend(self.newcomer_mails(view));
-        mails.extend(self.new_relay_mails(view));
-        mails
+        outgoing.extend(address_bundle(agents, members(view, PeerKind::Agent)));
+        outgoing.extend(address_bundle(entries, members(view, PeerKind::Entry)));
+        outgoing.extend(address_bundle(outward, self.far_targets(view)));
+        outgoing.extend(self.new_member_datagrams(view));
+        outgoing.extend(self.new_relay_datagrams(view));
+        outgoing
     }
 
     /// Everything that is known of the own failure domain, for relays of others that have just become
     /// known.
-    fn new_relay_mails(&mut self, view: &RelayView<'_>) -> Vec<NoticeMail> {
+    fn new_relay_datagrams(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         let told = self.far_targets(view);
         let new = self.outbox.take_new_relays(&told);
         if new.is_empty() {
@@ -137,14 +137,14 @@
         }
         let DueNotices { near_agents, .. } = RelayOutbox::all_notices(view.now, view.peers);
         let roster = view.peers.roster(view.now, self.domain, view.own.kind);
-        mail(self.bundle(view, vec![roster], near_agents), new)
+        address_bundle(self.bundle(view, vec![roster], near_agents), new)
     }
 
     /// Everything that is known, for members that have just come: they wait for it to take part in
     /// transfers.
-    fn newcomer_mails(&mut self, view: &RelayView<'_>) -> Vec<NoticeMail> {
-        let newcomers = self.outbox.take_new_members(view.peers);
-        if newcomers.is_empty() {
+    fn new_member_datagrams(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
+        let new_members = self.outbox.take_new_members(view.peers);
+        if new_members.is_empty() {
             return Vec::new();
         }
         let DueNotices { agents, entries, .. } = RelayOutbox::all_notices(view.now, view.peers);
@@ -152,7 +152,7 @@
         let domains = view.peers.far_domains().into_iter().chain([self.domain]);
         let rosters = domains.map(|domain| view.peers.roster(view.now, domain, view.own.kind));
         let notices = [agents, entries, vec![own]].concat();
-        mail(self.bundle(view, rosters.collect(), notices), newcomers)
+        address_bundle(self.bundle(view, rosters.collect(), notices), new_members)
     }
 
     fn bundle(
@@ -164,7 +164,7 @@
         PeerBundle { rosters, notices, ..PeerBundle::empty(view.own.from, self.domain) }
     }
 
-    fn member_mails(&self, view: &RelayView<'_>, due: &DueNotices) -> Vec<NoticeMail> {
+    fn member_datagrams(&self, view: &RelayView<'_>, due: &DueNotices) -> Vec<OutgoingDatagram> {
         let roster = |domain| view.peers.roster(view.now, domain, view.own.kind);
         let mut rosters = Vec::new();
         if self.turn.is_multiple_of(NEAR_ROSTER_TURNS) {
@@ -193,12 +193,16 @@
         }
         let agents = self.bundle(view, rosters.clone(), for_agents);
         let entries = self.bundle(view, rosters, for_entries);
-        let mut mails = mail(agents, members(view, PeerKind::Agent));
-        mails.extend(mail(entries, members(view, PeerKind::Entry)));
-        mails
+        let mut outgoing = address_bundle(agents, members(view, PeerKind::Agent));
+        outgoing.extend(address_bundle(entries, members(view, PeerKind::Entry)));
+        outgoing
     }
 
-    fn outward_mail(&mut self, view: &RelayView<'_>, due: &DueNotices) -> Vec<NoticeMail> {
+    fn outward_datagrams(
+        &mut self,
+        view: &RelayView<'_>,
+        due: &DueNotices,
+    ) -> Vec<OutgoingDatagram> {
         let (mut rosters, mut received_from) = (Vec::new(), Vec::new());
         if self.turn.is_multiple_of(OUTWARD_ROSTER_TURNS) {
             rosters.push(view.peers.roster(view.now, self.domain, view.own.kind));
@@ -212,31 +216,31 @@
         let own = RelayedNotice { notice: view.own.clone(), age: Duration::ZERO };
         let notices = [due.near_agents.as_slice(), &[own]].concat();
         let bundle = PeerBundle { received_from, ..self.bundle(view, rosters, notices) };
-        mail(bundle, self.far_targets(view))
+        address_bundle(bundle, self.far_targets(view))
     }
 
     /// What the entries of the own failure domain say of servers that are about to change, for the
     /// agents of these.
-    fn drain_mails(&mut self, view: &RelayView<'_>, repeats: bool) -> Vec<NoticeMail> {
+    fn drain_datagrams(&mut self, view: &RelayView<'_>, repeats: bool) -> Vec<OutgoingDatagram> {
         let mut changing = BTreeSet::new();
-        let mut mails = Vec::new();
+        let mut outgoing = Vec::new();
         for peer in view.peers.living() {
             let Some(server) = peer.notice.server.as_ref().filter(|server| server.changing) else {
                 continue;
             };
             changing.insert(server.address);
             let report = view.peers.near_drain_report(server.address, view.drains);
-            let told = self.told_drains.insert(server.address, report);
+            let told = self.sent_drains.insert(server.address, report);
             if told == Some(report) && !repeats {
                 continue;
             }
             let drains = vec![DrainSum { server: server.address, report }];
             let bundle = PeerBundle { drains, ..PeerBundle::empty(view.own.from, self.domain) };
             let bytes = Datagram::Bundle(bundle).encode();
-            mails.push(NoticeMail { bytes, targets: vec![peer.notice.from] });
+            outgoing.push(OutgoingDatagram { bytes, targets: vec![peer.notice.from] });
         }
-        self.told_drains.retain(|server, _| changing.contains(server));
-        mails
+        self.sent_drains.retain(|server, _| changing.contains(server));
+        outgoing
     }
 }
 
@@ -257,19 +261,19 @@
 }
 
 /// The datagrams of a bundle; none if there is nothing in it.
-fn mail(bundle: PeerBundle, targets: Vec<SocketAddr>) -> Vec<NoticeMail> {
+fn address_bundle(bundle: PeerBundle, targets: Vec<SocketAddr>) -> Vec<OutgoingDatagram> {
     let is_empty = bundle.rosters.is_empty() && bundle.notices.is_empty();
     if is_empty || targets.is_empty() {
         return Vec::new();
     }
     let datagrams = datagrams(bundle).into_iter();
-    datagrams.map(|bytes| NoticeMail { bytes, targets: targets.clone() }).collect()
+    datagrams.map(|bytes| OutgoingDatagram { bytes, targets: targets.clone() }).collect()
 }
 
 /// A bundle as datagrams that are not too large.
 fn datagrams(bundle: PeerBundle) -> Vec<Vec<u8>> {
     let bytes = Datagram::Bundle(bundle.clone()).encode();
-    if bytes.len() <= MOST_BUNDLE || bundle.rosters.len() + bundle.notices.len() <= 1 {
+    if bytes.len() <= MAX_BUNDLE_BYTES || bundle.rosters.len() + bundle.notices.len() <= 1 {
         return vec![bytes];
     }
     let PeerBundle { from, domain, mut rosters, mut notices, drains, received_from } = bundle;
--- a/crates/daemon/src/direct/server_sync.rs
+++ b/crates/daemon/src/direct/server_sync.rs
@@ -18,24 +18,24 @@
 
 /// Time for an answer: a list of a thousand servers takes 0.1 s over a link of 40 Mbit/s, and 3.2 s
 /// over 1 Mbit/s. Given up earlier, all of it would be asked for again.
-const FETCH_TIME: Duration = Duration::from_secs(5);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Silence of a holder after which another one is asked, as for plans.
-const FETCH_SILENCE: Duration = Duration::from_millis(400);
+const FETCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Largest answer: a record takes about 400 bytes, 720 servers are designed for.
-const MOST_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Pause after each answer, in which further changes gather: a server that leaves is told in notices
 /// besides, and what agents tell of their servers comes before the list does.
-const GATHER_PAUSE: Duration = Duration::from_millis(300);
+const BATCH_DELAY: Duration = Duration::from_millis(300);
 
 /// Time for which an entry of another failure domain is not asked: the readers of the own one are
 /// about to hear the same.
-const FAR_WAIT: Duration = Duration::from_millis(600);
+const FAR_HOLDER_DELAY: Duration = Duration::from_millis(600);
 
 /// Time for which an entry that reads the store itself waits for that.
-const READER_WAIT: Duration = Duration::from_millis(1200);
+const READER_DELAY: Duration = Duration::from_millis(1200);
 
 /// The answer to an entry that asks for `path`; none if that is no such question, or if nothing is
 /// known yet.
@@ -63,7 +63,7 @@
                     decisions::warn("servers", "not_fetched", json!({ "error": error }));
                 }
             }
-            tokio::time::sleep(GATHER_PAUSE).await;
+            tokio::time::sleep(BATCH_DELAY).await;
         }
     }
 }
@@ -73,11 +73,11 @@
     let age = state.servers_age();
     let behind = age.behind(state.now())?;
     let peers = state.peers();
-    if peers.is_plan_reader() && behind < READER_WAIT {
+    if peers.is_plan_reader() && behind < READER_DELAY {
         return None;
     }
     let near = peers.newer_servers(age.covered(), true);
-    let far = || match behind >= FAR_WAIT {
+    let far = || match behind >= FAR_HOLDER_DELAY {
         true => peers.newer_servers(age.covered(), false),
         false => Vec::new(),
     };
@@ -92,11 +92,11 @@
 ) -> Result<ServerChanges, String> {
     let path = format!("{SERVERS_PATH}{after}");
     // A connection that has rested may have been cut off meanwhile without a word.
-    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE);
-    let call = connections.call(address, request, MOST_ANSWER, FETCH_TIME);
-    let answer = call.await.map_err(|error| format!("{address}: {}", error.message))?;
-    if answer.status != StatusCode::OK {
-        return Err(format!("{address}: it answered {} and no list", answer.status));
+    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
+    let call = connections.call(address, request, MAX_RESPONSE_BYTES, FETCH_TIMEOUT);
+    let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
+    if response.status != StatusCode::OK {
+        return Err(format!("{address}: it answered {} and no list", response.status));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| format!("{address}: {error}"))
+    serde_json::from_slice(&response.body).map_err(|error| format!("{address}: {error}"))
 }
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -30,9 +30,9 @@
     agent::{AgentOutside, AgentState, lock},
     agent_plan::AgentPlan,
     change::{self, DrainPace},
-    facts::pause_after,
-    seats,
+    facts::retry_delay,
     transfer::{TransferDesk, VersionWork},
+    transfer_peers,
 };
 use crate::decisions;
 
@@ -342,7 +342,7 @@
             }
             Err(error) => {
                 self.manifest_failures += 1;
-                self.manifest_due = now + pause_after(self.manifest_failures);
+                self.manifest_due = now + retry_delay(self.manifest_failures);
                 if source == ManifestSource::Origin {
                     self.plan.doubt();
                 }
@@ -360,7 +360,7 @@
         let now = self.state.node.now();
         let wanted = self.manifest_wanted.filter(|(wanted, _)| *wanted == version);
         let (_, since) = *self.manifest_wanted.insert(wanted.unwrap_or((version, now)));
-        let readers = seats::manifest_readers(&self.state, version);
+        let readers = transfer_peers::manifest_readers(&self.state, version);
         manifest_source(&ManifestView {
             rank: readers.rank,
             domain_rank: readers.near_rank,
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -40,7 +40,7 @@
 
 use super::{
     body_memory::{BODY_MEMORY_DIVISOR, BodyMemory},
-    facts::{FactNews, set_facts},
+    facts::{FactUpdate, readable_facts},
     plan_copy::PlanCopy,
     quarantine::Quarantine,
     unknown_headers::UnknownHeaders,
@@ -295,7 +295,7 @@
         let bounded =
             bounded.map(|(name, service)| (name.as_str().into(), service.cold_per_second));
         let rates = ColdRates { services: bounded.collect(), phase: self.phase };
-        if self.plan.take(self.now(), plan, source) {
+        if self.plan.apply(self.now(), plan, source) {
             self.metrics.set_revision(version.0);
             self.servers().set_cold_rates(rates);
         }
@@ -306,7 +306,7 @@
     /// the store.
     pub fn record_peer_plan_version(&self, version: PlanVersion) {
         let is_reader = self.peers().is_plan_reader();
-        if self.plan.note_told(self.now(), version, is_reader) && !self.awaits_turn() {
+        if self.plan.record_peer_version(self.now(), version, is_reader) && !self.awaits_turn() {
             self.plan_refresh.notify_one();
         }
     }
@@ -326,8 +326,8 @@
     }
 
     /// Applies a plan update from the store.
-    pub fn apply_plan_update(&self, update: FactNews) {
-        for fact in set_facts(update) {
+    pub fn apply_plan_update(&self, update: FactUpdate) {
+        for fact in readable_facts(update) {
             if let Fact::Plan(plan) = fact {
                 self.apply_plan(*plan, "store");
             }
@@ -336,9 +336,9 @@
     }
 
     /// Applies an update of the wanted weight versions from the store.
-    pub fn apply_weights_update(&self, update: FactNews) {
+    pub fn apply_weights_update(&self, update: FactUpdate) {
         let now = self.now();
-        for fact in set_facts(update) {
+        for fact in readable_facts(update) {
             let Fact::Weights(wanted) = fact else { continue };
             if self.weights().learn(now, &wanted.model, wanted.version) {
                 let fields = json!({ "model": wanted.model, "version": wanted.version });
--- a/crates/daemon/src/direct/state/evacuations.rs
+++ b/crates/daemon/src/direct/state/evacuations.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::{EntryState, lock};
-use crate::{decisions, direct::facts::FactNews};
+use crate::{decisions, direct::facts::FactUpdate};
 
 impl EntryState {
     /// The evacuated failure domains that this entry knows of.
@@ -15,13 +15,13 @@
     }
 
     /// Applies an update of the evacuations from the store.
-    pub fn apply_evacuations_update(&self, update: FactNews) {
+    pub fn apply_evacuations_update(&self, update: FactUpdate) {
         let mark = update.covered();
         let (base, facts) = match update {
-            FactNews::All(list) => {
+            FactUpdate::All(list) => {
                 (EvacuatedDomains::default(), list.facts.into_iter().map(FactChange::Set).collect())
             }
-            FactNews::Changes(changes) => (self.evacuated(), changes.changes),
+            FactUpdate::Changes(changes) => (self.evacuated(), changes.changes),
         };
         let changes = facts.into_iter().filter_map(|change| match change {
             FactChange::Set(NamedFact { fact: Ok(Fact::Evacuation(domain)), .. }) => {
--- a/crates/daemon/src/direct/state/reading.rs
+++ b/crates/daemon/src/direct/state/reading.rs
@@ -8,7 +8,7 @@
 use headlatch_core::direct::plan_readers::fallback_read_delay;
 
 use super::{EntryState, lock};
-use crate::direct::facts::{ReadGate, ReaderDuty};
+use crate::direct::facts::{ReadGate, ReaderRole};
 
 /// After the first start of the whole system, time for which an entry discovers peers before it
 /// reads the store. Without it each entry would take itself for the only one and read.
@@ -55,13 +55,13 @@
     }
 
     fn note(&self, answered: bool) {
-        self.plan.note_store(answered);
+        self.plan.record_store_call(answered);
     }
 
-    fn duty(&self) -> ReaderDuty {
+    fn role(&self) -> ReaderRole {
         match self.peers().reader_rank() {
-            Some(0) => ReaderDuty::Watches,
-            _ => ReaderDuty::StandsBy,
+            Some(0) => ReaderRole::Active,
+            _ => ReaderRole::Standby,
         }
     }
 }
@@ -78,8 +78,8 @@
 
     fn note(&self, _answered: bool) {}
 
-    fn duty(&self) -> ReaderDuty {
-        self.0.duty()
+    fn role(&self) -> ReaderRole {
+        self.0.role()
     }
 }
 
--- a/crates/daemon/src/direct/state/servers.rs
+++ b/crates/daemon/src/direct/state/servers.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::{EntryState, lock};
-use crate::{decisions, direct::facts::FactNews};
+use crate::{decisions, direct::facts::FactUpdate};
 
 /// Maximum time for which this entry may be behind a peer's list of servers before it rereads the
 /// list. It is longer than a watch pauses after each change plus the response time of a slow store.
@@ -24,11 +24,11 @@
 
 /// Converts an update from the store to server changes; records that can't be parsed are logged and
 /// left out.
-fn server_changes(update: FactNews, newest: ChangeMark) -> ServerChanges {
+fn server_changes(update: FactUpdate, newest: ChangeMark) -> ServerChanges {
     let covered = update.covered();
     let (whole, facts) = match update {
-        FactNews::All(list) => (true, list.facts.into_iter().map(FactChange::Set).collect()),
-        FactNews::Changes(changes) => (false, changes.changes),
+        FactUpdate::All(list) => (true, list.facts.into_iter().map(FactChange::Set).collect()),
+        FactUpdate::Changes(changes) => (false, changes.changes),
     };
     let mut converted = ServerChanges { covered, newest, whole, ..ServerChanges::default() };
     for fact in facts {
@@ -57,7 +57,7 @@
 
 impl EntryState {
     /// Applies an update of the list of servers from the store.
-    pub fn apply_servers_update(&self, update: FactNews) {
+    pub fn apply_servers_update(&self, update: FactUpdate) {
         let (covered, newest) = (update.covered(), update.newest());
         self.apply_servers(server_changes(update, newest));
         lock(&self.servers_age).confirm_from_store(self.now(), covered, newest);
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -20,7 +20,7 @@
 
 use super::{
     agent::{AgentOutside, AgentState},
-    seats,
+    transfer_peers,
     weights::{PieceReader, burst_manifest, encode_pieces, piece_name, pieces_from_peer},
 };
 use crate::agent::{
@@ -107,7 +107,7 @@
     /// Tells every transfer who takes part, where that has changed: those that hold everything must
     /// hear of newcomers as well, to offer what they hold.
     pub fn tell_seats(&mut self) {
-        let seats = seats::seats(&self.state);
+        let seats = transfer_peers::transfer_peers(&self.state);
         if seats == self.told_seats {
             return;
         }
@@ -173,7 +173,7 @@
             swarm.tell(DriverInput::Event(SwarmEvent::Superseded));
         });
         let swarm = self.start_swarm(&pieces, &manifest, origin);
-        swarm.tell(DriverInput::Seats(seats::seats(&self.state)));
+        swarm.tell(DriverInput::Seats(transfer_peers::transfer_peers(&self.state)));
         self.hub.add(swarm.clone());
         self.keep(manifest.digest());
         let since = self.state.node.now();
@@ -214,7 +214,7 @@
         settings.neighbours = NEIGHBOURS;
         let name = piece_name(&pieces.model, pieces.version);
         let text = (encode_pieces(pieces), manifest.clone());
-        let own_seat: PeerLocation = seats::own_seat(&self.state);
+        let own_seat: PeerLocation = transfer_peers::own_location(&self.state);
         swarm::start(tools, name, text, settings, own_seat)
     }
 
--- a/crates/daemon/src/direct/seats.rs
+++ b/crates/daemon/src/direct/transfer_peers.rs
@@ -18,14 +18,14 @@
 
 /// The agents of this server's service, this one among them: all of them come to hold the wanted
 /// version, also those that have not begun yet.
-pub(super) fn seats(state: &AgentState) -> Vec<(PeerLocation, SocketAddr)> {
+pub(super) fn transfer_peers(state: &AgentState) -> Vec<(PeerLocation, SocketAddr)> {
     let service = state.settings.service.as_deref().unwrap_or_default();
-    let own = (own_seat(state), state.settings.node.control);
+    let own = (own_location(state), state.settings.node.control);
     let peers = lock(&state.peers);
     let others = peers.reachable(state.node.now()).filter_map(|peer| {
         let server = peer.notice.server.as_ref()?;
-        let seat = seat(state, peer.notice.from, &server.zone);
-        (server.service == service).then_some((seat, peer.notice.from))
+        let location = location(state, peer.notice.from, &server.zone);
+        (server.service == service).then_some((location, peer.notice.from))
     });
     others.chain([own]).collect()
 }
@@ -50,12 +50,13 @@
 /// Who may read the manifest of `version`, and who holds it.
 pub(super) fn manifest_readers(state: &AgentState, version: WeightVersion) -> ManifestReaders {
     let node = &state.settings.node;
-    let seats = seats(state);
-    let own = own_seat(state);
-    let near = seats.iter().filter(|(seat, _)| seat.domain == own.domain);
-    let ranked = ranking(version.0, near.map(|(seat, _)| seat.key.0));
+    let peers_of_service = transfer_peers(state);
+    let own = own_location(state);
+    let near = peers_of_service.iter().filter(|(location, _)| location.domain == own.domain);
+    let ranked = ranking(version.0, near.map(|(location, _)| location.key.0));
     let near_rank = ranked.iter().position(|key| *key == own.key.0).unwrap_or(0);
-    let domains: BTreeSet<u64> = seats.iter().map(|(seat, _)| seat.domain).collect();
+    let domains: BTreeSet<u64> =
+        peers_of_service.iter().map(|(location, _)| location.domain).collect();
     let count = domains.len();
     let domain_rank = domains.iter().position(|domain| *domain == own.domain).unwrap_or(0);
     let peers = lock(&state.peers);
@@ -70,27 +71,27 @@
     ManifestReaders {
         rank: near_rank * count + domain_rank,
         near_rank,
-        steady: state.steady(seats.len()),
-        is_alone: seats.len() == 1,
+        steady: state.steady(peers_of_service.len()),
+        is_alone: peers_of_service.len() == 1,
         holders: holders.into_iter().map(|(_, address)| address).collect(),
         holders_near,
     }
 }
 
 /// The seat of this agent.
-pub(super) fn own_seat(state: &AgentState) -> PeerLocation {
+pub(super) fn own_location(state: &AgentState) -> PeerLocation {
     let node = &state.settings.node;
-    seat(state, node.control, &node.domain)
+    location(state, node.control, &node.domain)
 }
 
-fn seat(state: &AgentState, control: SocketAddr, domain: &DomainId) -> PeerLocation {
+fn location(state: &AgentState, control: SocketAddr, domain: &DomainId) -> PeerLocation {
     let region = state.settings.direct.zones.get(domain);
     let region = region.map_or(0, |region| key_of(region.as_str().as_bytes()));
     PeerLocation { key: state.seat_key(control), domain: domain.key(), region }
 }
 
 /// The key of an agent's seat: every agent works it out alike from the address.
-pub fn seat_key(control: SocketAddr) -> PeerKey {
+pub fn agent_peer_key(control: SocketAddr) -> PeerKey {
     let text = control.ip().to_string().replace(':', "-");
     let id: BoxId = text.parse().expect("an IP number makes a name");
     peer_key(&id)
--- a/crates/daemon/src/node/gossip.rs
+++ b/crates/daemon/src/node/gossip.rs
@@ -13,13 +13,13 @@
 use crate::timer::unix_time;
 
 /// Largest datagram taken; those sent are a good deal smaller.
-const MOST_DATAGRAM: usize = 8 << 10;
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// Runs gossip on `socket` until the stop.
 pub async fn run(node: Arc<NodeContext>, socket: UdpSocket, mut signal: StopSignal) {
     let mut rng = SmallRng::seed_from_u64(node.settings.box_id.key());
     let mut ticks = node.timer.subscribe(GOSSIP_INTERVAL);
-    let mut buffer = vec![0; MOST_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use headlatch_core::direct::{fact_age::ChangeMark, peers::DrainNotice};
-use headlatch_daemon::direct::{entry::DirectEntry, facts::FactNews, plan_sync};
+use headlatch_daemon::direct::{entry::DirectEntry, facts::FactUpdate, plan_sync};
 use headlatch_http::{CallAnswer, Connections};
 use headlatch_outside::{
     OutsideFuture,
@@ -409,7 +409,7 @@
     let state = &fixture.entry.state;
     let changes = |fact| {
         let changes = vec![FactChange::Set(fact)];
-        FactNews::Changes(FactChanges { changes, at: StoreRevision(9) })
+        FactUpdate::Changes(FactChanges { changes, at: StoreRevision(9) })
     };
     let knows = || state.servers().records().any(|record| &*record.id.0 == "i1");
     expect_that!(knows(), eq(true));
--- a/crates/daemon/tests/lost_watches.rs
+++ b/crates/daemon/tests/lost_watches.rs
@@ -13,7 +13,7 @@
 
 use googletest::prelude::*;
 use headlatch_core::direct::fact_age::ChangeMark;
-use headlatch_daemon::direct::facts::{AlwaysOpen, FactNews, ReadGate, ReaderDuty, follow};
+use headlatch_daemon::direct::facts::{AlwaysOpen, FactUpdate, ReadGate, ReaderRole, follow};
 use headlatch_outside::{
     OutsideFuture,
     facts::{
@@ -160,7 +160,7 @@
     let wanted = ChangeMark(store.changes.len() as u64);
     let known: Arc<Mutex<Option<Instant>>> = Arc::default();
     let heard = known.clone();
-    let take = move |news: FactNews| {
+    let take = move |news: FactUpdate| {
         if news.covered() >= wanted {
             heard.lock().expect("no panic").get_or_insert(Instant::now());
         }
@@ -237,10 +237,10 @@
 
     fn note(&self, _answered: bool) {}
 
-    fn duty(&self) -> ReaderDuty {
+    fn role(&self) -> ReaderRole {
         match self.watches.load(Ordering::Relaxed) {
-            true => ReaderDuty::Watches,
-            false => ReaderDuty::StandsBy,
+            true => ReaderRole::Active,
+            false => ReaderRole::Standby,
         }
     }
 }
@@ -285,7 +285,7 @@
 async fn calls_in_a_minute(topic: FactTopic, gate: Arc<dyn ReadGate>) -> (u32, u32) {
     let store = Arc::new(TroubledStore::calm(Vec::new()));
     let following =
-        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactNews| {}));
+        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactUpdate| {}));
     tokio::time::sleep(Duration::from_secs(60)).await;
     following.abort();
     (store.lists.load(Ordering::Relaxed), store.watches.load(Ordering::Relaxed))
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -10,7 +10,7 @@
 };
 
 use googletest::prelude::*;
-use headlatch_daemon::direct::facts::{AlwaysOpen, FactNews, follow};
+use headlatch_daemon::direct::facts::{AlwaysOpen, FactUpdate, follow};
 use headlatch_outside::{
     OutsideFuture,
     facts::{FactChanges, FactList, FactStore, FactTopic, Freshness, StoreFailure, StoreRevision},
@@ -119,8 +119,8 @@
     let (listed, mut lists) = mpsc::unbounded_channel();
     for _ in 0..readers {
         let (store, listed) = (store.clone(), listed.clone());
-        let take = move |news: FactNews| {
-            if matches!(news, FactNews::All(_)) {
+        let take = move |news: FactUpdate| {
+            if matches!(news, FactUpdate::All(_)) {
                 listed.send(()).expect("the test waits");
             }
         };
@@ -157,7 +157,7 @@
     let store = Arc::new(NarrowStore { cut_from, ..NarrowStore::new(2) });
     let (topic, gate) = (FactTopic::Plan, Arc::new(AlwaysOpen));
     let reading =
-        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactNews| {}));
+        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactUpdate| {}));
     tokio::time::sleep(Duration::from_millis(500 + 2100)).await;
     reading.abort();
     expect_that!(store.calls.load(Ordering::Relaxed), ge(2));
@@ -172,7 +172,7 @@
         let changed = Instant::now() + Duration::from_millis(6000 + tenths * 100);
         let store = Arc::new(NarrowStore { changed: Some(changed), ..NarrowStore::new(1) });
         let (known, mut knows) = mpsc::unbounded_channel();
-        let take = move |news: FactNews| {
+        let take = move |news: FactUpdate| {
             if news.covered().0 >= 2 {
                 known.send(()).expect("the test waits");
             }
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -17,7 +17,9 @@
     },
     time::Moment,
 };
-use headlatch_daemon::direct::notices::{MOST_DATAGRAM, NoticeBody, NoticeWriter, decode, encode};
+use headlatch_daemon::direct::notices::{
+    MAX_DATAGRAM_BYTES, NoticeBody, NoticeWriter, decode, encode,
+};
 use headlatch_types::{quantity::RequestRate, request::RequestDigest, traffic::WeightVersion};
 
 const NEAR: DomainKey = DomainKey(1);
@@ -48,16 +50,17 @@
 }
 
 #[gtest]
-fn loads_go_to_the_own_domain_at_once_and_to_others_now_and_then() {
+fn loads_go_to_the_own_domain_at_once_and_to_others_periodically() {
     let peers = peers();
     let mut writer = NoticeWriter::new(address(NEAR, 1), PeerKind::Entry, NEAR);
     let (mut near, mut far, mut bytes) = (0, 0, 0);
     for tick in 1..=100 {
-        for mail in writer.tick(&peers, body(tick)) {
-            bytes += mail.bytes.len() * mail.targets.len();
-            let to_near = mail.targets.iter().filter(|to| to.ip() < address(FAR, 0).ip()).count();
+        for datagram in writer.tick(&peers, body(tick)) {
+            bytes += datagram.bytes.len() * datagram.targets.len();
+            let to_near =
+                datagram.targets.iter().filter(|to| to.ip() < address(FAR, 0).ip()).count();
             near += to_near;
-            far += mail.targets.len() - to_near;
+            far += datagram.targets.len() - to_near;
         }
     }
     // Ten seconds: nine peers ten times a second, thirty every 1.5 s, and a few names.
@@ -67,7 +70,7 @@
 }
 
 #[gtest]
-fn one_entry_tells_the_sum_of_its_domain() {
+fn one_entry_reports_the_loads_of_its_domain() {
     let peers = peers();
     let mut writer = NoticeWriter::new(address(NEAR, 1), PeerKind::Entry, NEAR);
     let mut told = 0;
@@ -75,19 +78,19 @@
     for tick in 1..=4 {
         let sum = LoadNotice { server: 9, load: EngineLoad::default() };
         let body = NoticeBody { domain_loads: Some(vec![sum]), ..body(tick) };
-        let mails = writer.tick(&peers, body);
-        let notices = mails.iter().filter_map(|mail| decode(&mail.bytes));
+        let datagrams = writer.tick(&peers, body);
+        let notices = datagrams.iter().filter_map(|datagram| decode(&datagram.bytes));
         expect_that!(notices.filter(|notice| notice.domain_loads.is_some()).count(), eq(0));
     }
     for tick in 5..=24 {
         let sum = LoadNotice { server: 9, load: EngineLoad::default() };
         let body = NoticeBody { domain_loads: Some(vec![sum]), ..body(tick) };
-        let mails = writer.tick(&peers, body);
-        let sums = mails
-            .iter()
-            .filter(|mail| decode(&mail.bytes).is_some_and(|notice| notice.domain_loads.is_some()));
-        for mail in sums {
-            expect_that!(mail.targets.len(), eq(30));
+        let datagrams = writer.tick(&peers, body);
+        let sums = datagrams.iter().filter(|datagram| {
+            decode(&datagram.bytes).is_some_and(|notice| notice.domain_loads.is_some())
+        });
+        for datagram in sums {
+            expect_that!(datagram.targets.len(), eq(30));
             told += 1;
         }
     }
@@ -95,8 +98,8 @@
 }
 
 /// Whom a tick's notices go to.
-fn told(writer: &mut NoticeWriter, peers: &PeerTable, body: &NoticeBody) -> Vec<SocketAddr> {
-    writer.tick(peers, body.clone()).into_iter().flat_map(|mail| mail.targets).collect()
+fn recipients(writer: &mut NoticeWriter, peers: &PeerTable, body: &NoticeBody) -> Vec<SocketAddr> {
+    writer.tick(peers, body.clone()).into_iter().flat_map(|datagram| datagram.targets).collect()
 }
 
 #[gtest]
@@ -107,7 +110,7 @@
     let mut body = body(3);
     for plan in 1..=20 {
         body.plan = plan;
-        let told = told(&mut writer, &peers, &body);
+        let told = recipients(&mut writer, &peers, &body);
         expect_that!(near.iter().all(|entry| told.contains(entry)), eq(true), "plan {plan}");
     }
 }
@@ -141,12 +144,13 @@
     expect_that!(decode(&encode(&limiting)), some(eq(&limiting)));
     let full = PeerNotice { peers: vec![address(NEAR, 4); MAX_ADVERTISED_PEERS], ..notice };
     expect_that!(encode(&full).len(), lt(700));
-    let word = LeavingNotice { server: u32::MAX, revision: ChangeMark(1 << 40), returned: false };
-    let leaving = PeerNotice { leaving: vec![word; MAX_LEAVING_NOTICES], ..full };
-    expect_that!(encode(&leaving).len(), lt(MOST_DATAGRAM / 4));
+    let notice_of_leaving =
+        LeavingNotice { server: u32::MAX, revision: ChangeMark(1 << 40), returned: false };
+    let leaving = PeerNotice { leaving: vec![notice_of_leaving; MAX_LEAVING_NOTICES], ..full };
+    expect_that!(encode(&leaving).len(), lt(MAX_DATAGRAM_BYTES / 4));
     let limit = limit(Some(RequestRate::from_milli(u64::MAX)));
     let limits = PeerNotice { limits: vec![limit; MAX_LIMIT_NOTICES], ..leaving };
-    expect_that!(encode(&limits).len(), lt(MOST_DATAGRAM / 2));
+    expect_that!(encode(&limits).len(), lt(MAX_DATAGRAM_BYTES / 2));
     expect_that!(decode(b"no notice"), none());
 }
 
@@ -165,10 +169,10 @@
 
 /// Every entry tells at once of the requests of all servers that were lost in one moment.
 #[gtest]
-fn words_of_many_suspects_fit_in_a_notice_beside_everything_else() {
+fn many_suspects_fit_into_a_notice() {
     let suspects = suspects().into_iter().cycle().take(MAX_NOTICES).collect();
     let notice = PeerNotice { suspects, ..living(PeerKind::Entry, FAR, 3) };
-    expect_that!(encode(&notice).len(), lt(MOST_DATAGRAM / 6));
+    expect_that!(encode(&notice).len(), lt(MAX_DATAGRAM_BYTES / 6));
 }
 
 /// Sixty-four servers that leave, of which every notice in full tells.
@@ -180,7 +184,7 @@
 /// After a loss of power of hundreds of processes everybody knows hundreds of addresses of others and
 /// hears of dozens of servers that are gone.
 #[gtest]
-fn addresses_that_may_be_peers_are_tried_by_turns_and_in_few_bytes() {
+fn candidate_addresses_are_pinged_in_rotation_with_few_bytes() {
     let mut peers = PeerTable::new(address(NEAR, 1), NEAR);
     for domain in [NEAR, FAR] {
         (2..=200).for_each(|last| peers.add_candidate(Moment::ZERO, address(domain, last)));
@@ -190,9 +194,9 @@
     let (mut tried, mut bytes) = (std::collections::BTreeSet::new(), 0);
     for _ in 0..20 {
         let body = NoticeBody { leaving: leaving(), ..body(1) };
-        for mail in writer.tick(&peers, body) {
-            bytes += mail.bytes.len() * mail.targets.len();
-            tried.extend(mail.targets);
+        for datagram in writer.tick(&peers, body) {
+            bytes += datagram.bytes.len() * datagram.targets.len();
+            tried.extend(datagram.targets);
         }
     }
     expect_that!(tried.len(), eq(count), "all are tried within two seconds");
@@ -210,8 +214,8 @@
         let leaving = if tick < 30 { Vec::new() } else { leaving() };
         let sum = LoadNotice { server: 9, load: EngineLoad::default() };
         let body = NoticeBody { domain_loads: Some(vec![sum]), leaving, ..body(1) };
-        let mails = writer.tick(&peers, body);
-        let notices = mails.iter().filter_map(|mail| decode(&mail.bytes));
+        let datagrams = writer.tick(&peers, body);
+        let notices = datagrams.iter().filter_map(|datagram| decode(&datagram.bytes));
         let sums = notices.filter(|notice| notice.domain_loads.is_some());
         if sums.into_iter().any(|notice| !notice.leaving.is_empty()) {
             told.push(tick);
@@ -223,24 +227,24 @@
 
 /// An entry that has just started takes itself for the first of its failure domain.
 #[gtest]
-fn an_entry_that_has_just_started_does_not_speak_for_its_domain() {
+fn an_entry_that_has_just_started_does_not_report_for_its_domain() {
     let peers = peers();
     let mut writer = NoticeWriter::new(address(NEAR, 1), PeerKind::Entry, NEAR);
-    let mut speaks = |_| {
+    let mut reports = |_| {
         let sum = LoadNotice { server: 9, load: EngineLoad::default() };
         let body = NoticeBody { domain_loads: Some(vec![sum]), ..body(1) };
-        let mails = writer.tick(&peers, body);
-        let mut notices = mails.iter().filter_map(|mail| decode(&mail.bytes));
+        let datagrams = writer.tick(&peers, body);
+        let mut notices = datagrams.iter().filter_map(|datagram| decode(&datagram.bytes));
         notices.any(|notice| notice.domain_loads.is_some())
     };
-    let spoke: Vec<bool> = (1..=8).map(&mut speaks).collect();
-    expect_that!(spoke, eq(&vec![false, false, false, false, true, true, true, true]));
+    let reported: Vec<bool> = (1..=8).map(&mut reports).collect();
+    expect_that!(reported, eq(&vec![false, false, false, false, true, true, true, true]));
 }
 
 /// Beyond the mesh limit relays tell who lives: names from all entries to all newcomers are not
 /// needed.
 #[gtest]
-fn beyond_the_mesh_limit_only_relays_name_peers() {
+fn beyond_the_mesh_limit_only_relays_advertise_peers() {
     let relay = peers();
     let mut member = PeerTable::new(address(NEAR, 200), NEAR);
     let near = (2..=10).map(|last| living(PeerKind::Entry, NEAR, last));
@@ -252,7 +256,7 @@
         table.set_mesh_limit(100);
         expect_that!(table.peers_to_advertise_in(FAR, 0).len(), eq(39), "all, below the limit");
         table.set_mesh_limit(20);
-        let names = table.relay_rank().is_some();
-        expect_that!(table.peers_to_advertise_in(FAR, 0).is_empty(), eq(!names));
+        let advertises = table.relay_rank().is_some();
+        expect_that!(table.peers_to_advertise_in(FAR, 0).is_empty(), eq(!advertises));
     }
 }
--- a/crates/daemon/tests/read_gate.rs
+++ b/crates/daemon/tests/read_gate.rs
@@ -9,7 +9,7 @@
 };
 
 use googletest::prelude::*;
-use headlatch_daemon::direct::facts::{FactNews, ReadGate, ReaderDuty, follow};
+use headlatch_daemon::direct::facts::{FactUpdate, ReadGate, ReaderRole, follow};
 use headlatch_outside::{
     OutsideFuture,
     facts::{FactChanges, FactList, FactStore, FactTopic, Freshness, StoreFailure, StoreRevision},
@@ -24,7 +24,7 @@
     watches: AtomicU32,
     fails: AtomicBool,
     /// A watch was given up before it ended.
-    given_up: Arc<AtomicBool>,
+    cancelled: Arc<AtomicBool>,
 }
 
 /// Notes that a watch was given up, when it is dropped.
@@ -61,7 +61,7 @@
         _progress: ByteProgress,
     ) -> OutsideFuture<'_, std::result::Result<FactChanges, StoreFailure>> {
         self.watches.fetch_add(1, Ordering::Relaxed);
-        let guard = WatchGuard(self.given_up.clone());
+        let guard = WatchGuard(self.cancelled.clone());
         Box::pin(async move {
             let _guard = guard;
             tokio::time::sleep(Duration::from_secs(600)).await;
@@ -86,24 +86,24 @@
     }
 
     /// Watches of these tests are never answered, and are to end by their gate alone.
-    fn duty(&self) -> ReaderDuty {
-        ReaderDuty::StandsBy
+    fn role(&self) -> ReaderRole {
+        ReaderRole::Standby
     }
 }
 
-struct Setting {
+struct Fixture {
     store: Arc<CountingStore>,
     gate: Arc<TestGate>,
-    nudge: Arc<Notify>,
+    refresh: Arc<Notify>,
 }
 
-impl Setting {
+impl Fixture {
     fn start() -> Self {
-        let setting = Self { store: Arc::default(), gate: Arc::default(), nudge: Arc::default() };
-        let (store, gate, nudge) =
-            (setting.store.clone(), setting.gate.clone(), setting.nudge.clone());
-        tokio::spawn(follow(store, FactTopic::Plan, nudge, gate, |_: FactNews| {}));
-        setting
+        let fixture = Self { store: Arc::default(), gate: Arc::default(), refresh: Arc::default() };
+        let (store, gate, refresh) =
+            (fixture.store.clone(), fixture.gate.clone(), fixture.refresh.clone());
+        tokio::spawn(follow(store, FactTopic::Plan, refresh, gate, |_: FactUpdate| {}));
+        fixture
     }
 
     fn calls(&self) -> (u32, u32) {
@@ -120,44 +120,44 @@
 }
 
 /// Lets a follower look at a closed gate once or twice: however long it takes, it must call nobody.
-async fn look_again() {
+async fn wait_for_polls() {
     tokio::time::sleep(Duration::from_millis(450)).await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_closed_gate_lets_nothing_through_until_it_opens() {
-    let setting = Setting::start();
-    look_again().await;
-    expect_that!(setting.calls(), eq((0, 0)));
-    setting.gate.open.store(true, Ordering::Relaxed);
-    until(|| setting.calls() == (1, 1)).await;
+async fn a_closed_gate_prevents_calls_until_it_opens() {
+    let fixture = Fixture::start();
+    wait_for_polls().await;
+    expect_that!(fixture.calls(), eq((0, 0)));
+    fixture.gate.open.store(true, Ordering::Relaxed);
+    until(|| fixture.calls() == (1, 1)).await;
     // Another entry has come that reads in its place: the watch is given up, and nothing is listed.
-    setting.gate.open.store(false, Ordering::Relaxed);
-    until(|| setting.store.given_up.load(Ordering::Relaxed)).await;
-    look_again().await;
-    expect_that!(setting.calls(), eq((1, 1)));
+    fixture.gate.open.store(false, Ordering::Relaxed);
+    until(|| fixture.store.cancelled.load(Ordering::Relaxed)).await;
+    wait_for_polls().await;
+    expect_that!(fixture.calls(), eq((1, 1)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_nudge_lists_once_although_the_gate_is_closed() {
-    let setting = Setting::start();
-    setting.nudge.notify_one();
-    until(|| setting.calls() == (1, 1)).await;
-    until(|| setting.store.given_up.load(Ordering::Relaxed)).await;
-    look_again().await;
-    expect_that!(setting.calls(), eq((1, 1)));
+async fn a_refresh_lists_once_although_the_gate_is_closed() {
+    let fixture = Fixture::start();
+    fixture.refresh.notify_one();
+    until(|| fixture.calls() == (1, 1)).await;
+    until(|| fixture.store.cancelled.load(Ordering::Relaxed)).await;
+    wait_for_polls().await;
+    expect_that!(fixture.calls(), eq((1, 1)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_gate_hears_whether_calls_are_answered() {
-    let setting = Setting::start();
-    setting.store.fails.store(true, Ordering::Relaxed);
-    setting.gate.answered.store(true, Ordering::Relaxed);
-    setting.gate.open.store(true, Ordering::Relaxed);
-    until(|| !setting.gate.answered.load(Ordering::Relaxed)).await;
-    setting.store.fails.store(false, Ordering::Relaxed);
-    until(|| setting.gate.answered.load(Ordering::Relaxed)).await;
+async fn the_gate_records_whether_calls_succeed() {
+    let fixture = Fixture::start();
+    fixture.store.fails.store(true, Ordering::Relaxed);
+    fixture.gate.answered.store(true, Ordering::Relaxed);
+    fixture.gate.open.store(true, Ordering::Relaxed);
+    until(|| !fixture.gate.answered.load(Ordering::Relaxed)).await;
+    fixture.store.fails.store(false, Ordering::Relaxed);
+    until(|| fixture.gate.answered.load(Ordering::Relaxed)).await;
 }
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -13,7 +13,7 @@
 use googletest::prelude::*;
 use headlatch_core::direct::peers::{DomainKey, PeerKind, PeerNotice};
 use headlatch_daemon::direct::{
-    facts::{AlwaysOpen, FactNews, ReadGate, ReaderDuty, follow},
+    facts::{AlwaysOpen, FactUpdate, ReadGate, ReaderRole, follow},
     state::EntryState,
 };
 use headlatch_outside::{
@@ -31,7 +31,7 @@
 use tokio::{sync::Notify, time::Instant};
 
 /// Time after which the platform's client gives a silent call up at the latest.
-const CLIENT_TIME: Duration = Duration::from_secs(3);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A store that meets every call with silence until a moment, and answers those that come later.
 /// What it met with silence it never answers.
@@ -52,7 +52,7 @@
             if answers {
                 return Ok(FactList { facts: Vec::new(), at: StoreRevision(1) });
             }
-            tokio::time::sleep(CLIENT_TIME).await;
+            tokio::time::sleep(CLIENT_TIMEOUT).await;
             Err(StoreFailure::Unreachable("no answer in time".to_owned()))
         })
     }
@@ -74,13 +74,13 @@
     let store = Arc::new(SilentStore { answers_from: Instant::now() + silence });
     let returned = store.answers_from;
     let listed = Arc::new(Notify::new());
-    let heard = listed.clone();
+    let notify = listed.clone();
     let following = tokio::spawn(follow(
         store,
         FactTopic::Plan,
         Arc::default(),
         Arc::new(AlwaysOpen),
-        move |_: FactNews| heard.notify_one(),
+        move |_: FactUpdate| notify.notify_one(),
     ));
     listed.notified().await;
     following.abort();
@@ -139,7 +139,7 @@
 }
 
 /// Lets an entry of another failure domain say that it has `version`.
-fn tell(state: &EntryState, version: u64) {
+fn receive_plan_version(state: &EntryState, version: u64) {
     static SEQUENCE: AtomicU64 = AtomicU64::new(1);
     let from: SocketAddr = "10.1.0.1:7700".parse().expect("an address");
     let domain: DomainId = "z2".parse().expect("a name");
@@ -161,7 +161,7 @@
     let state = entry();
     state.apply_plan(plan(5), "store");
     for tick in 0..40 {
-        tell(&state, 6);
+        receive_plan_version(&state, 6);
         let due = tick >= 5;
         let asks = state.newer_plan_holder().is_some();
         expect_that!(asks || !due, eq(true), "{} ms behind", tick * 100);
@@ -179,10 +179,10 @@
     let wait = Duration::from_millis(300);
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(false));
     expect_that!(begun.elapsed(), eq(wait));
-    let taker = state.clone();
+    let updater = state.clone();
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        taker.apply_plan(plan(6), "peer");
+        updater.apply_plan(plan(6), "peer");
     });
     let begun = Instant::now();
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(true));
@@ -192,7 +192,7 @@
 
 /// Lets an entry of the own failure domain, the first one by address, say whether the store answers
 /// it.
-fn tell_near(state: &EntryState, sequence: u64, reads_store: bool) {
+fn receive_near_notice(state: &EntryState, sequence: u64, reads_store: bool) {
     let from: SocketAddr = "10.0.0.0:7700".parse().expect("an address");
     let domain: DomainId = "z1".parse().expect("a name");
     let notice = PeerNotice {
@@ -207,17 +207,17 @@
 /// answered.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn the_duty_to_watch_passes_on_when_the_first_entry_loses_the_store() {
+async fn the_active_role_passes_on_when_the_first_entry_loses_the_store() {
     let state = entry();
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
-    tell_near(&state, 1, true);
-    expect_that!(state.duty(), eq(ReaderDuty::StandsBy));
-    tell_near(&state, 2, false);
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
-    tell_near(&state, 3, true);
-    expect_that!(state.duty(), eq(ReaderDuty::StandsBy));
+    expect_that!(state.role(), eq(ReaderRole::Active));
+    receive_near_notice(&state, 1, true);
+    expect_that!(state.role(), eq(ReaderRole::Standby));
+    receive_near_notice(&state, 2, false);
+    expect_that!(state.role(), eq(ReaderRole::Active));
+    receive_near_notice(&state, 3, true);
+    expect_that!(state.role(), eq(ReaderRole::Standby));
     // The first entry has fallen silent.
     tokio::time::sleep(Duration::from_secs(6)).await;
     state.refresh_loads();
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
+    expect_that!(state.role(), eq(ReaderRole::Active));
 }
--- a/crates/daemon/tests/support/agent.rs
+++ b/crates/daemon/tests/support/agent.rs
@@ -27,7 +27,7 @@
         ..PeerNotice::empty(sender, PeerKind::Agent, DomainKey(1))
     };
     agent.send_to(&notices::encode(&notice), entry).await.expect("it is bound");
-    let mut buffer = vec![0; notices::MOST_DATAGRAM];
+    let mut buffer = vec![0; notices::MAX_DATAGRAM_BYTES];
     loop {
         let (length, _) = agent.recv_from(&mut buffer).await.expect("it is bound");
         let answer = notices::decode(&buffer[..length]).expect("a notice");
