--- a/crates/daemon/src/direct/datagram.rs
+++ b/crates/daemon/src/direct/datagram.rs
@@ -1,4 +1,4 @@
-//! What comes in one datagram: a notice, a relay's bundle, or notes of a transfer.
+//! Contents of a datagram: a notice, a relay's bundle, or notes of a transfer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,34 +15,34 @@
 };
 use crate::agent::notes::{LostCall, NoteCarrier};
 
-/// First byte of a bundle; no message of protobuf begins with it, so that a notice needs no mark.
+/// First byte of a bundle. No protobuf message starts with it, so a notice needs no tag.
 const BUNDLE_TAG: u8 = 0x01;
 
 /// First byte of the notes of a transfer.
 const NOTES_TAG: u8 = 0x02;
 
-/// Bytes of an address in a roster: an IPv4 number and a port.
+/// Size of an address in a roster: an IPv4 address and a port.
 const ADDRESS_BYTES: usize = 6;
 
-/// Milliseconds in a step of a member's age.
+/// Resolution of a member's age, in milliseconds.
 const AGE_STEP_MS: u128 = 10;
 
-/// Largest datagram.
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// What came in a datagram.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Datagram {
-    /// A process tells of itself.
+    /// Notice of a process about itself.
     Notice(Box<PeerNotice>),
-    /// A relay tells of others.
+    /// Bundle of a relay about other processes.
     Bundle(PeerBundle),
     /// Notes of a transfer.
     Notes(wire::SwarmNotes),
 }
 
 impl Datagram {
-    /// Reads a datagram; none if the bytes are not one.
+    /// Decodes a datagram; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first()? {
             (&BUNDLE_TAG, rest) => decode_bundle(rest).map(Self::Bundle),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The bytes of a datagram.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Self::Notice(notice) => encode(notice),
@@ -114,7 +114,7 @@
     }
 }
 
-/// What a relay hears itself, in the form of a roster.
+/// Represents the peers that a relay receives directly as a roster.
 fn received_from_roster(members: &[RosterMember]) -> DomainRoster {
     DomainRoster { domain: DomainKey::default(), members: members.to_vec() }
 }
@@ -148,14 +148,14 @@
     })
 }
 
-/// Carries notes of a transfer in datagrams: they are many and small, and one that is lost is made up
-/// for by the next.
+/// Sends notes of a transfer as datagrams: they are many and small, and the next one compensates for
+/// a lost one.
 #[derive(Debug)]
 pub struct DatagramCarrier(pub Arc<UdpSocket>);
 
 impl NoteCarrier for DatagramCarrier {
     fn send(&self, to: SocketAddr, notes: wire::SwarmNotes, _lost: LostCall) {
-        // One that cannot be sent is as good as lost, which the protocol bears.
+        // Send errors are ignored: the protocol tolerates loss.
         let _ = self.0.try_send_to(&Datagram::Notes(notes).encode(), to);
     }
 }
--- a/crates/daemon/src/direct/entry_notices.rs
+++ b/crates/daemon/src/direct/entry_notices.rs
@@ -1,4 +1,4 @@
-//! Sends and hears an entry's notices.
+//! Sends and receives an entry's notices.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,31 +22,31 @@
 };
 use crate::decisions;
 
-/// How often a relay looks whether there is something that its members must hear at once.
+/// Interval at which a relay checks for changes that its members must receive at once.
 const URGENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ticks between two times that all agents' words are taken in anew, besides those that change.
+/// Ticks between refreshes of all agents' notices; changed ones are applied at once.
 const REFRESH_TICKS: u64 = 10;
 
-/// A peer that is to be answered at once.
+/// Reply to be sent at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reply {
-    /// It waits for word that its server gets nothing more.
+    /// To an agent that waits for confirmation that its server receives no more requests.
     Drain(SocketAddr),
-    /// It has just been found: names help it to find others.
+    /// To a newly discovered peer, with addresses that help it to find others.
     Names(SocketAddr, DomainKey),
-    /// Relays wait for word that some server gets nothing more.
+    /// To relays that wait for confirmation that a server receives no more requests.
     Relays,
 }
 
-/// Whom this entry tells of itself.
+/// Recipients of this entry's notices.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum NoticeReach {
-    /// Everybody.
+    /// All peers.
     Mesh,
-    /// Relays, which tell the others.
+    /// Relays, which forward to the others.
     Members(Vec<SocketAddr>),
-    /// It relays itself, at this rank, beside these.
+    /// This entry is a relay of this rank, beside the given relays.
     Relay(usize, Vec<SocketAddr>),
 }
 
@@ -67,7 +67,7 @@
     ticks
 }
 
-/// Sends and hears an entry's notices for ever.
+/// Sends and receives an entry's notices indefinitely.
 pub async fn run(state: Arc<EntryState>, socket: Arc<UdpSocket>) {
     let node = &state.settings.node;
     let domain = DomainKey::from(&node.domain);
@@ -118,7 +118,7 @@
         self.relays.expire(now);
         self.choose_reach();
         if self.reach == NoticeReach::Mesh {
-            // The full list that goes out tells the changes as well.
+            // The full list sent below includes the changes.
             let _ = self.state.servers().take_load_changes();
             let body = entry_body(&self.state, false);
             let datagrams = self.writer.tick(&self.state.peers(), body);
@@ -127,7 +127,8 @@
         if self.writer.load_changes_due() {
             self.send_load_changes();
         }
-        // An entry that others ask to relay speaks for its failure domain beside the first one.
+        // An entry that other failure domains use as a relay also reports the loads of its own failure
+        // domain, in addition to the first entry.
         let relays_on_request = matches!(self.reach, NoticeReach::Relay(rank, _) if rank >= RELAYS);
         let body = entry_body(&self.state, relays_on_request);
         if let NoticeReach::Relay(rank, _) = self.reach {
@@ -173,7 +174,7 @@
         self.reach = reach;
     }
 
-    /// Relays other than this entry.
+    /// Returns the relays other than this entry.
     fn other_relays(&self) -> Vec<SocketAddr> {
         match &self.reach {
             NoticeReach::Mesh => Vec::new(),
@@ -189,7 +190,7 @@
         let reply = match Datagram::decode(bytes) {
             Some(Datagram::Notice(notice)) => handle_notice(&self.state, *notice),
             Some(Datagram::Bundle(bundle)) => self.handle_bundle(bundle),
-            // Entries take no part in transfers.
+            // Entries do not take part in weight transfers.
             Some(Datagram::Notes(_)) | None => None,
         };
         if let Some(reply) = reply {
@@ -231,7 +232,7 @@
                 let names = state.peers().peers_to_advertise_in(domain, turn);
                 let loads = state.servers().own_loads();
                 let body = NoticeBody { loads, ..body };
-                // Whoever names nobody leaves the rest to relays as well.
+                // Without addresses to advertise, the remaining facts are left to the relays too.
                 let leaving = if names.is_empty() { Vec::new() } else { body.leaving };
                 let body =
                     NoticeBody { leaving, draining_lives: Vec::new(), limits: Vec::new(), ..body };
@@ -248,8 +249,8 @@
     }
 }
 
-/// What an entry tells at a tick; with `speaks`, what its failure domain has in progress as well, whatever
-/// its place there.
+/// Composes an entry's notice of one tick; `reports_domain` adds the loads of its failure domain
+/// regardless of its rank there.
 fn entry_body(state: &EntryState, reports_domain: bool) -> NoticeBody {
     let loads = state.servers().own_loads();
     let drains = state.drains();
@@ -267,7 +268,7 @@
     NoticeBody { wanted: state.wanted_notices(), loads, domain_loads, drains, ..facts_body(state) }
 }
 
-/// What an entry tells of its copies of the store's facts.
+/// Composes the part of a notice that describes the entry's copies of the store's facts.
 fn facts_body(state: &EntryState) -> NoticeBody {
     let now = state.now();
     let servers = state.servers();
@@ -287,7 +288,7 @@
     }
 }
 
-/// Takes in a notice; the sender, if it is to be answered at once.
+/// Applies a notice and returns the reply that is due at once, if any.
 fn handle_notice(state: &EntryState, notice: PeerNotice) -> Option<Reply> {
     let facts = notice.clone();
     let changed: Vec<u32> = notice.loads.iter().map(|load| load.server).collect();
@@ -299,8 +300,8 @@
     server.map(|_| Reply::Drain(facts.from)).or(found)
 }
 
-/// Takes in what a notice says besides its sender's load; tells whether a server has said that it is
-/// about to change.
+/// Applies the contents of a notice other than its sender's loads; returns whether a server has
+/// announced a change.
 fn apply_notice(state: &EntryState, outcome: &NoticeOutcome, notice: &PeerNotice) -> bool {
     state.merge_wanted_versions(&notice.wanted);
     if outcome.after_disconnect {
@@ -322,7 +323,7 @@
         return false;
     };
     let changing = server.changing;
-    // One entry of a failure domain writes down for all of them what an agent tells.
+    // Only the reporting entry of a failure domain logs the notices of agents.
     if state.peers().is_domain_reporter() {
         let fields = json!({
             "address": server.address, "whole": server.whole, "changing": changing,
--- a/crates/daemon/src/direct/facts.rs
+++ b/crates/daemon/src/direct/facts.rs
@@ -1,4 +1,5 @@
-//! Follows the facts of one topic: list, watch, and list again where the history is gone.
+//! Reads one topic of the fact store: a list, then watches, then a new list when the watch history has
+//! been compacted.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,52 +16,54 @@
 
 use crate::decisions;
 
-/// How long a watch waits at a process that stands by: those that watch tell it of changes.
+/// Wait of a watch sent by a standby reader, which learns of changes from the active readers.
 const STANDBY_WATCH_WAIT: Duration = Duration::from_secs(29);
 
-/// The same at a process that watches. A watch may be lost without a word: sent while the store was
-/// silent, or on a connection that is silent for good. Where all of them are lost nobody knows more
-/// than anybody else, so that only the end of the wait shows it. Changes are due two seconds after
-/// they are made, from three seconds after the trouble on: with [`WATCH_SILENCE_TIMEOUT`], a list and a
-/// notice, 2.6 s have passed by then.
+/// Wait of a watch sent by an active reader.
+///
+/// A watch can be lost without an error: sent while the store does not respond, or on a connection
+/// that never responds again. If the watches of all readers are lost, only the end of the wait shows
+/// it. Changes must arrive within 2 s of being made, starting 3 s after the fault; this wait,
+/// [`WATCH_SILENCE_TIMEOUT`], a list and a notice take 2.6 s together.
 const WATCH_WAIT: Duration = Duration::from_millis(1500);
 
-/// The same for wanted weights, which are due after eight seconds and more.
+/// Wait of an active reader's watch on wanted weights, whose deadline is 8 s or more.
 const WEIGHTS_WATCH_WAIT: Duration = Duration::from_millis(3000);
 
-/// The same for failure domains that are being emptied, which get nothing new five seconds later.
+/// Wait of an active reader's watch on evacuations: an evacuated failure domain must receive no new
+/// requests after 5 s.
 const EVACUATIONS_WATCH_WAIT: Duration = Duration::from_millis(2500);
 
-/// Least part of these times that is drawn, so that nodes do not call together, in percent.
+/// Lower end of the random watch wait, in percent of the full one; spreads the calls of the nodes.
 const MIN_WATCH_WAIT_PERCENT: u32 = 85;
 
-/// Silence after the end of its wait from which a watch counts as lost, beside the time that the
-/// store took for the last list: far longer than the answer of a store that is slow.
+/// Time without a response after the end of its wait at which a watch counts as lost, in addition to
+/// the duration of the last list. Far longer than a slow store takes to respond.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Most of that time that is added: the list may have been large, and its link narrow.
+/// Upper bound on the added list duration: the list may have been large and its link slow.
 const MAX_LIST_TIME_ALLOWANCE: Duration = Duration::from_millis(1000);
 
-/// First pause after a failed call.
+/// Delay before the first retry of a failed call.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause after failed calls.
+/// Upper bound of the exponential backoff.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1500);
 
-/// Silence of a list after which another call joins it: longer than the answer of a store that is slow,
-/// and well before a change is due that was accepted while nothing came.
+/// Time without data after which a list is hedged with a second call: longer than a slow store takes
+/// to respond, and well before the deadline of a change accepted in the meantime.
 const LIST_HEDGE_DELAY: Duration = Duration::from_millis(1000);
 
-/// The same for wanted weights: they are due after eight seconds and more, and every process tells
+/// Hedge delay for wanted weights: their deadline is 8 s or more, and every process also advertises
 /// them to every other.
 const WEIGHTS_HEDGE_DELAY: Duration = Duration::from_millis(3000);
 
-/// Rest after a watch brought something, in which further changes gather: each call is priced, and
-/// a server that leaves serves on for two seconds at least.
+/// Delay after a watch returned server changes, to batch further ones: each call has a cost, and a
+/// leaving server keeps serving for at least 2 s.
 const SERVERS_BATCH_DELAY: Duration = Duration::from_millis(800);
 
-/// The same for a reader that stands by: what the one that watches has read it hears in notices, and
-/// of servers that leave from every failure domain.
+/// Batch delay of a standby reader: notices carry what the active reader has read, and leaving servers
+/// of every failure domain.
 const STANDBY_SERVERS_BATCH_DELAY: Duration = Duration::from_millis(2000);
 
 fn batch_delay(topic: FactTopic, role: ReaderRole) -> Duration {
@@ -71,7 +74,7 @@
     }
 }
 
-/// How long the next watch waits.
+/// Wait of the next watch, with jitter except for standby readers.
 fn watch_wait(topic: FactTopic, role: ReaderRole) -> Duration {
     let most = match (role, topic) {
         (ReaderRole::Standby, _) => return STANDBY_WATCH_WAIT,
@@ -82,7 +85,7 @@
     most * rand::rng().random_range(MIN_WATCH_WAIT_PERCENT..=100) / 100
 }
 
-/// Time for which a list may be silent, with jitter so that nodes do not call together.
+/// Time without data after which a list is hedged, with jitter to spread the calls of the nodes.
 fn hedge_delay(topic: FactTopic) -> Duration {
     let most = match topic {
         FactTopic::Plan | FactTopic::Servers | FactTopic::Evacuations => LIST_HEDGE_DELAY,
@@ -91,28 +94,28 @@
     most.mul_f64(rand::rng().random_range(0.7..=1.0))
 }
 
-/// Decides whether a topic is read from the store, and hears whether that works.
+/// Decides whether a topic is read from the store, and records whether the calls succeed.
 pub trait ReadGate: Send + Sync {
-    /// Whether the topic is to be read now.
+    /// Whether the topic should be read now.
     fn is_open(&self) -> bool;
-    /// Notes whether the last call was answered.
+    /// Records whether the store responded to the last call.
     fn note(&self, answered: bool);
-    /// What this process has to do beside the others that read the topic.
+    /// Role of this process among the readers of the topic.
     fn role(&self) -> ReaderRole {
         ReaderRole::Active
     }
 }
 
-/// What a process that reads a topic has to do beside others of its failure domain.
+/// Role of a reader of a topic among those of its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReaderRole {
-    /// Others rely on it: it must notice by itself when its watch is lost.
+    /// Other processes depend on it, so it must detect a lost watch by itself.
     Active,
-    /// It reads in case the one that watches stops: its calls may be rare.
+    /// Reads as a fallback in case the active reader stops, so its calls may be rare.
     Standby,
 }
 
-/// A topic that is always read.
+/// Gate of a topic that is always read.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AlwaysOpen;
 
@@ -124,21 +127,21 @@
     fn note(&self, _answered: bool) {}
 }
 
-/// Looks in a row that must find a gate closed, or its duty another one, before a watch is ended: one
-/// second.
+/// Consecutive polls that must find the gate closed, or the role changed, before a watch is cancelled:
+/// 1 s in total.
 const CLOSED_GATE_POLLS: u32 = 5;
 
-/// How often a closed gate is looked at.
+/// Poll interval of a gate.
 const GATE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same at first, when others wait for what is read.
+/// Poll interval of a closed gate during start-up, when other processes wait for the data.
 const STARTUP_GATE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for which a gate is looked at more often.
+/// Start-up period with the shorter poll interval.
 const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
-/// Looks at a gate until a watch that was sent with `duty` is not the right one any more: the gate
-/// has been closed for some time, or its process has to watch and did not when it was sent.
+/// Polls a gate until a watch sent in `role` is obsolete: for [`CLOSED_GATE_POLLS`] consecutive polls,
+/// the gate was closed or a standby reader had become the active one.
 async fn watch_obsolete(gate: &dyn ReadGate, role: ReaderRole) {
     let is_right = || gate.is_open() && (gate.role() == role || role == ReaderRole::Active);
     let mut polls = 0;
@@ -148,17 +151,17 @@
     }
 }
 
-/// What a follower hands over.
+/// Update of a topic.
 #[derive(Debug, Clone)]
 pub enum FactUpdate {
-    /// Everything there is; whatever is not in it is gone.
+    /// The complete list; facts that are not in it have been deleted.
     All(FactList),
-    /// What a watch brought.
+    /// Changes returned by a watch.
     Changes(FactChanges),
 }
 
 impl FactUpdate {
-    /// The place up to which the store has said everything.
+    /// Revision up to which the update is complete.
     pub fn covered(&self) -> ChangeMark {
         match self {
             Self::All(list) => ChangeMark(list.at.0),
@@ -166,7 +169,7 @@
         }
     }
 
-    /// The newest change in it.
+    /// Revision of the newest change in the update.
     pub fn newest(&self) -> ChangeMark {
         let revision = |fact: &NamedFact| ChangeMark(fact.revision.0);
         let newest = match self {
@@ -183,18 +186,18 @@
     }
 }
 
-/// Pause after the `failures`th failure in a row, with jitter so that nodes do not call together.
+/// Backoff after `failures` consecutive failures, with jitter to spread the calls of the nodes.
 pub fn retry_delay(failures: u32) -> Duration {
     let doubled = INITIAL_RETRY_DELAY * (1 << failures.clamp(1, 6).saturating_sub(1));
     let most = doubled.min(MAX_RETRY_DELAY).as_millis() as u64;
     Duration::from_millis(rand::rng().random_range(most / 2..=most))
 }
 
-/// Follows `topic` for ever and hands news to `take`; whoever knows that there is something newer
-/// notifies `refresh`, upon which everything is listed again.
+/// Follows `topic` indefinitely and passes updates to `apply`. A notification on `refresh`, sent by
+/// whoever knows of newer data, forces a new list.
 ///
-/// A watch that broke off is never taken up again where it was: a store that has lost part of its
-/// history may let it wait as if nothing had changed.
+/// A broken watch is never resumed from its last revision: a store that has lost part of its history
+/// may let it wait as if nothing had changed.
 pub async fn follow(
     store: Arc<dyn FactStore>,
     topic: FactTopic,
@@ -213,7 +216,7 @@
             let is_news = !changes.changes.is_empty();
             apply(FactUpdate::Changes(changes));
             if is_news {
-                // Changes that come close together are one call.
+                // Batches changes in quick succession into one call.
                 tokio::time::sleep(batch_delay(topic, reader.gate.role())).await;
             }
         }
@@ -224,18 +227,18 @@
 pub(super) struct FactReader {
     store: Arc<dyn FactStore>,
     topic: FactTopic,
-    /// Somebody knows that there is something newer.
+    /// Notified when another component knows of newer data.
     refresh: Arc<Notify>,
     gate: Arc<dyn ReadGate>,
     begun: Instant,
-    /// Calls that have failed since the last one that was answered.
+    /// Calls that failed since the last success.
     outage: Option<StoreOutage>,
-    /// Time that the store took for the last list.
+    /// Duration of the last list.
     answer_time: Duration,
 }
 
 impl FactReader {
-    /// A reader of `topic`.
+    /// Creates a reader of `topic`.
     pub(super) fn new(
         store: Arc<dyn FactStore>,
         topic: FactTopic,
@@ -246,7 +249,7 @@
         Self { store, topic, refresh, gate, begun, outage: None, answer_time }
     }
 
-    /// Waits until the gate opens or somebody knows that there is something newer.
+    /// Waits until the gate opens or a refresh is requested.
     async fn wait_until_open(&self) {
         while !self.gate.is_open() {
             let is_first = self.begun.elapsed() < STARTUP_PERIOD;
@@ -258,12 +261,12 @@
         }
     }
 
-    /// Lists the topic, however often that fails.
+    /// Lists the topic, retrying until it succeeds.
     ///
-    /// A call of which nothing has come for a while is joined by another: a store, or a way to it,
-    /// that is back after a silence answers what comes then, and often never what came before. The
-    /// first answer wins, so that a store that is merely slow is read as well. As long as bytes come
-    /// none joins: it would take the link from the others, until no call ends in time.
+    /// A call that receives no data for a while is hedged with another: after an outage, a store or
+    /// the path to it often responds to new calls but never to earlier ones. The first response wins,
+    /// so a merely slow store is read as well. No call is added while data arrives: it would compete
+    /// for the link until no call completes in time.
     pub(super) async fn list(&mut self, freshness: Freshness) -> FactList {
         let (store, topic) = (self.store.clone(), self.topic);
         let progress = ByteProgress::default();
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Waits for changes after `at`; none where everything is to be listed anew.
+    /// Waits for changes after `at`; `None` if the topic has to be listed again.
     async fn watch(&mut self, at: StoreRevision) -> Option<FactChanges> {
         let begun = Instant::now();
         let role = self.gate.role();
@@ -339,7 +342,7 @@
         }
     }
 
-    /// What a watch for `wait` brings; an error once nothing has come for too long after that.
+    /// Watches for `wait`; fails if the store stays silent for too long after that.
     async fn watched(
         &self,
         at: StoreRevision,
@@ -353,7 +356,7 @@
         loop {
             match tokio::time::timeout(silence, &mut watch).await {
                 Ok(watched) => return watched,
-                // A large change is on its way over a narrow link.
+                // A large response is still arriving over a slow link.
                 Err(_) if progress.total() > received => {
                     (silence, received) = (silence_limit, progress.total())
                 }
@@ -362,8 +365,8 @@
         }
     }
 
-    /// Writes down how long a watch that brought something had been open: where the next one of
-    /// these lines is missing, the watch after it was never answered.
+    /// Logs how long a watch that returned changes had been open. A missing next line shows that the
+    /// store never responded to the following watch.
     fn log_changes(&self, begun: Instant, changes: &FactChanges) {
         if changes.changes.is_empty() {
             return;
@@ -382,7 +385,7 @@
         }
     }
 
-    /// Notes a call that failed, and tells how long to wait before the next one.
+    /// Records a failed call and returns the delay before the next one.
     fn record_failure(
         &mut self,
         call: StoreCall,
@@ -400,7 +403,7 @@
     StoreFailure::Unreachable(format!("silent for {} ms", silence.as_millis()))
 }
 
-/// A call to the store, for logs.
+/// Kind of a store call, for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreCall {
     List,
@@ -416,7 +419,7 @@
     }
 }
 
-/// A store whose calls fail.
+/// A run of consecutive failed store calls.
 #[derive(Debug)]
 struct StoreOutage {
     topic: FactTopic,
@@ -429,7 +432,7 @@
         Self { topic, since, failures: 0 }
     }
 
-    /// Notes a call that failed.
+    /// Records and logs a failed call.
     fn note(&mut self, call: StoreCall, begun: Instant, error: &StoreFailure) {
         self.failures += 1;
         let event = if self.failures == 1 { "lost" } else { "still_lost" };
@@ -440,7 +443,7 @@
         decisions::warn("store", event, fields);
     }
 
-    /// Notes that a call was answered.
+    /// Logs the end of the outage.
     fn end(self) {
         let lost_ms = self.since.elapsed().as_millis() as u64;
         let fields = json!({ "topic": self.topic.as_str(), "lost_ms": lost_ms });
@@ -448,7 +451,7 @@
     }
 }
 
-/// The facts in news that are there and can be read.
+/// The facts that an update sets; unreadable ones are logged and skipped.
 pub fn readable_facts(news: FactUpdate) -> Vec<Fact> {
     let named: Vec<NamedFact> = match news {
         FactUpdate::All(list) => list.facts,
--- a/crates/daemon/src/direct/notice_codec.rs
+++ b/crates/daemon/src/direct/notice_codec.rs
@@ -1,4 +1,4 @@
-//! Notices as bytes of one datagram.
+//! Encodes and decodes notices, each of which fits into one datagram.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -19,7 +19,7 @@
 use headlatch_wire as wire;
 use prost::Message;
 
-/// An address as bytes: the IP number, then the port.
+/// Encodes an address: the IP address, then the port.
 pub(super) fn address_bytes(address: &SocketAddr) -> Vec<u8> {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -29,7 +29,7 @@
     bytes
 }
 
-/// The address that bytes stand for; none if they are not one.
+/// Decodes an address; `None` if the bytes are not one.
 pub(super) fn address_of(bytes: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = bytes.split_last_chunk::<2>()?;
     let port = u16::from_be_bytes(*port);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Words of [`wire::NoticeSuspect`].
+/// Values of the field `word` of [`wire::NoticeSuspect`].
 const ENDED_SILENT: u32 = 0;
 const ENDED_BEGUN: u32 = 1;
 const REFUSED: u32 = 2;
@@ -105,7 +105,7 @@
             SuspectNotice::Refused { digest, left: Duration::from_secs(encoded.left_s.into()) }
         }
         CLEARED => SuspectNotice::Cleared { digest },
-        // A newer process may tell what this one does not know.
+        // A newer process may send values that this version does not know.
         _ => return None,
     })
 }
@@ -149,7 +149,7 @@
     encode_message(notice).encode_to_vec()
 }
 
-/// A notice as a message.
+/// Converts a notice to its protobuf message.
 pub(super) fn encode_message(notice: &PeerNotice) -> wire::PeerNotice {
     let server = notice.server.as_ref().map(|server| wire::NoticeServer {
         address: address_bytes(&server.address),
@@ -195,12 +195,12 @@
     (number > 0).then_some(WeightVersion(number))
 }
 
-/// Decodes a notice; none if the bytes are not one.
+/// Decodes a notice; `None` if the bytes are not one.
 pub fn decode(bytes: &[u8]) -> Option<PeerNotice> {
     decode_message(wire::PeerNotice::decode(bytes).ok()?)
 }
 
-/// A notice from a message; none if it is not one.
+/// Converts a protobuf message to a notice; `None` if it is invalid.
 pub(super) fn decode_message(message: wire::PeerNotice) -> Option<PeerNotice> {
     let server = match message.server {
         None => None,
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -1,4 +1,4 @@
-//! Writes a process's notices and decides whom they go to.
+//! Composes a process's notices and selects their recipients.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -22,53 +22,54 @@
     notice_codec::{decode, encode},
 };
 
-/// How often notices go out.
+/// Interval between ticks, at which notices are sent.
 pub const NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Ticks after which a notice goes to the own failure domain although nothing has changed.
+/// Ticks between keep-alive notices within the own failure domain.
 const NEAR_TICKS: u64 = 5;
 
-/// The same for other failure domains: bytes between them are dear.
+/// Ticks between keep-alive notices to other failure domains, to which traffic is expensive.
 const FAR_TICKS: u64 = 15;
 
-/// Ticks between two notices of what a whole failure domain has in progress.
+/// Ticks between reports of the loads of a whole failure domain.
 const DOMAIN_REPORT_TICKS: u64 = 1;
 
-/// Ticks between notices to addresses that may be peers, at first: whoever has just started knows
-/// only some, which name others.
+/// Ticks between pings to candidate addresses during start-up: a new process knows only a few peers,
+/// which advertise others.
 const STARTUP_CANDIDATE_TICKS: u64 = 1;
 
-/// The same later on: most of those that have not answered by then are gone.
+/// Ticks between pings to candidate addresses after start-up: most that have not responded by then
+/// are gone.
 const CANDIDATE_TICKS: u64 = 15;
 
-/// Ticks for which addresses that may be peers are tried more often.
+/// Length of the start-up period, in ticks.
 const STARTUP_TICKS: u64 = 30;
 
-/// Addresses that may be peers which are tried in one tick. After a loss of power of hundreds of
-/// processes each of them knows hundreds of addresses: all of them tried by all processes ten times a
-/// second are more than the links between regions carry.
+/// Maximum number of candidate addresses pinged in one tick. After a power failure of hundreds of
+/// processes, each knows hundreds of addresses; pings from every process to all of them ten times a
+/// second would exceed the capacity of the links between regions.
 const CANDIDATES_PER_TICK: usize = 32;
 
-/// Ticks after a start in which an entry does not speak for its failure domain: it does not know yet
-/// whether others are there that come before it.
+/// First tick at which an entry reports the loads of its failure domain: before, it does not know
+/// whether an entry of a lower rank exists.
 const FIRST_DOMAIN_REPORT_TICK: u64 = 5;
 
-/// Ticks between two words of leaving servers to other failure domains, if nothing new is known.
+/// Ticks between repeated reports of leaving servers to other failure domains.
 const LEAVING_TICKS: u64 = 5;
 
-/// Ticks between notices that name peers.
+/// Ticks between notices that advertise peers.
 const ADVERTISE_TICKS: u64 = 10;
 
-/// Peers that are told names at one time: what one hears, all hear before long.
+/// Number of peers that receive an advertisement at a time; they pass it on to the others.
 const ADVERTISE_TARGETS: usize = 3;
 
-/// Ticks between two full lists of what an entry has in progress, where relays tell the rest.
+/// Ticks between full lists of an entry's loads when relays are in use.
 const FULL_LOAD_TICKS: u64 = 10;
 
-/// Ticks between two words of changes of load that nobody needs to hear at once, there.
+/// Ticks between notices of non-urgent load changes when relays are in use.
 const CHANGE_TICKS: u64 = 3;
 
-/// Writes a process's notices and decides whom they go to.
+/// Composes a process's notices and selects their recipients.
 #[derive(Debug)]
 pub struct NoticeWriter {
     from: SocketAddr,
@@ -83,50 +84,50 @@
     last_drains: Vec<DrainNotice>,
 }
 
-/// What a process tells now.
+/// Content of a notice.
 #[derive(Debug, Clone, Default)]
 pub struct NoticeBody {
-    /// Version of the plan that it has.
+    /// Version of the process's plan.
     pub plan: u64,
-    /// The newest change of servers that it has taken in.
+    /// Newest change of servers that it has applied.
     pub servers: ChangeMark,
-    /// Servers that it has heard to be leaving a short time ago.
+    /// Servers recently reported as leaving.
     pub leaving: Vec<LeavingNotice>,
-    /// Servers that have announced in their answers that they drain.
+    /// Servers that announced in their responses that they are draining.
     pub draining_lives: Vec<LifeKey>,
     /// Rate limits that servers have advertised.
     pub limits: Vec<LimitNotice>,
-    /// Requests under which servers ended.
+    /// Requests during which servers terminated.
     pub suspects: Vec<SuspectNotice>,
-    /// Its calls to the store are answered, as far as it knows.
+    /// Whether its calls to the store succeed, as far as it knows.
     pub reads_store: bool,
-    /// What it has in progress.
+    /// Its requests in progress, by server.
     pub loads: Vec<LoadNotice>,
-    /// What its whole failure domain has in progress, if it is the one to tell.
+    /// Requests in progress of its whole failure domain, if this process reports them.
     pub domain_loads: Option<Vec<LoadNotice>>,
-    /// Servers that it sends nothing to because they are about to change.
+    /// Servers that it sends no requests to because they are about to change.
     pub drains: Vec<DrainNotice>,
-    /// Its server.
+    /// The state of its own server.
     pub server: Option<ServerNotice>,
-    /// The wanted versions that decide until when older ones may be used, as far as it knows.
+    /// Known wanted weight versions, which determine until when older ones may be used.
     pub wanted: Vec<WantedNotice>,
-    /// Failure domains that are being emptied, as far as it knows.
+    /// Failure domains known to be evacuated.
     pub evacuated: EvacuatedDomains,
-    /// Entries must hear it although a datagram may be lost: it is told again at every occasion.
+    /// Whether the notice is repeated to entries at every tick, since a datagram may be lost.
     pub repeated: bool,
 }
 
-/// One datagram and whom it goes to.
+/// A datagram and its recipients.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Its bytes.
+    /// Encoded datagram.
     pub bytes: Vec<u8>,
-    /// Whom it goes to.
+    /// Addresses of the recipients.
     pub targets: Vec<SocketAddr>,
 }
 
 impl OutgoingDatagram {
-    /// Sends it; a datagram that cannot be sent is as good as lost, which is borne.
+    /// Sends the datagram to all recipients. Send errors are ignored: the protocol tolerates loss.
     pub fn send(&self, socket: &UdpSocket) {
         for target in &self.targets {
             let _ = socket.try_send_to(&self.bytes, *target);
@@ -134,26 +135,26 @@
     }
 }
 
-/// What is due at a tick.
+/// Reasons to send a notice at a tick.
 #[derive(Debug, Clone, Copy)]
 struct TickDue {
-    /// Everybody must hear at once.
+    /// The state of the own server has changed; all peers must receive it at once.
     server: bool,
-    /// Every entry must hear again.
+    /// The notice must be repeated to every entry.
     repeated: bool,
-    /// The loads are not what they were.
+    /// The loads have changed.
     loads: bool,
-    /// What every entry must hear of the store is not what it was.
+    /// The facts that every entry must receive have changed.
     facts: bool,
-    /// Which servers get nothing, or what waits at them, is not what it was.
+    /// The set of drained servers, or the requests that remain at them, has changed.
     drains: bool,
-    /// The own failure domain hears that this process lives.
+    /// A keep-alive to the own failure domain is due.
     near: bool,
-    /// Other failure domains hear that this process lives.
+    /// A keep-alive to other failure domains is due.
     far: bool,
 }
 
-/// What every entry hears at once when it changes.
+/// Facts that are sent to every entry at once when they change.
 #[derive(Debug, Default, PartialEq)]
 struct TickFacts {
     plan: u64,
@@ -178,13 +179,13 @@
 }
 
 impl NoticeWriter {
-    /// The writer of a process that has just started.
+    /// Creates the writer of a process that has just started, with a random incarnation.
     pub fn new(from: SocketAddr, kind: PeerKind, domain: DomainKey) -> Self {
         Self::with_incarnation(from, kind, domain, rand::rng().random())
     }
 
-    /// The same with a given number of this life of the process, which also decides in which ticks
-    /// it says what is due every few of them.
+    /// Creates a writer with the given incarnation number, which also determines the phase of its
+    /// periodic notices.
     pub fn with_incarnation(
         from: SocketAddr,
         kind: PeerKind,
@@ -224,8 +225,8 @@
         due
     }
 
-    /// The notices of this tick where relays hand on what they are told: relays hear what is new,
-    /// and entries of the own failure domain what is in progress.
+    /// Composes the notices of this tick when relays are in use: changes go to the relays, loads to
+    /// the entries of the own failure domain.
     pub fn tick_to_relays(
         &mut self,
         peers: &PeerTable,
@@ -248,13 +249,12 @@
         std::iter::once(datagram).chain(pings).collect()
     }
 
-    /// Whether changes of load that nobody needs to hear at once are to be told at this tick, where
-    /// relays tell the rest.
+    /// Whether non-urgent load changes are due at this tick when relays are in use.
     pub fn load_changes_due(&self) -> bool {
         self.is_periodic_due(CHANGE_TICKS)
     }
 
-    /// The notices of this tick where everybody tells everybody.
+    /// Composes the notices of this tick when every process notifies every other.
     pub fn tick(&mut self, peers: &PeerTable, body: NoticeBody) -> Vec<OutgoingDatagram> {
         let due = self.begin_tick(&body);
         let mut datagrams = Vec::new();
@@ -289,13 +289,12 @@
         due.server || due.far || (peer.notice.kind == PeerKind::Entry && due.repeated)
     }
 
-    /// Whether something that is due every few ticks is due now; processes take different ticks.
+    /// Whether an event with a period of `ticks` is due now; the phase differs between processes.
     fn is_periodic_due(&self, ticks: u64) -> bool {
         (self.tick + self.incarnation % ticks).is_multiple_of(ticks)
     }
 
-    /// A short word to addresses that may be peers, to so many of them by turns: whoever hears it
-    /// answers.
+    /// Composes a short notice to a rotating subset of the candidate addresses; recipients reply.
     fn pings(&mut self, peers: &PeerTable, body: &NoticeBody) -> Option<OutgoingDatagram> {
         if !self.is_candidates_due() {
             return None;
@@ -321,7 +320,7 @@
         }
     }
 
-    /// What the own failure domain has in progress, for the entries of others.
+    /// Composes the report of the own failure domain's loads to the entries of others.
     fn domain_report(
         &mut self,
         peers: &PeerTable,
@@ -350,7 +349,7 @@
         OutgoingDatagram { bytes: self.write(content, Vec::new()), targets }
     }
 
-    /// Names of peers for a few of them, by turns.
+    /// Advertises peers to a rotating subset of the peers.
     fn advertisement(&mut self, peers: &PeerTable, body: NoticeBody) -> Option<OutgoingDatagram> {
         let turn = (self.tick / ADVERTISE_TICKS) as usize * ADVERTISE_TARGETS;
         let targets: Vec<SocketAddr> =
@@ -360,19 +359,19 @@
         (!targets.is_empty()).then_some(OutgoingDatagram { bytes, targets })
     }
 
-    /// What has changed at busy servers, for the entries of the own failure domain.
+    /// Composes the load changes of busy servers, for the entries of the own failure domain.
     pub fn changes(&mut self, peers: &PeerTable, loads: Vec<LoadNotice>) -> OutgoingDatagram {
         let targets = near_entries(peers).collect();
         let body = NoticeBody { loads, ..NoticeBody::default() };
         OutgoingDatagram { bytes: encode(&self.notice(body, Vec::new(), true)), targets }
     }
 
-    /// A notice besides the usual ones, to one peer that waits for it.
+    /// Encodes a notice with `advertised` addresses.
     pub fn write(&mut self, body: NoticeBody, advertised: Vec<SocketAddr>) -> Vec<u8> {
         encode(&self.notice(body, advertised, false))
     }
 
-    /// What this process tells of itself, for a relay to hand on.
+    /// Composes this process's notice without loads and drains, for a relay to forward.
     pub fn facts(&mut self, body: NoticeBody) -> PeerNotice {
         let body = NoticeBody { loads: Vec::new(), drains: Vec::new(), ..body };
         self.notice(body, Vec::new(), false)
@@ -410,7 +409,7 @@
     }
 }
 
-/// Addresses of the entries of the own failure domain.
+/// Returns the addresses of the entries of the own failure domain.
 fn near_entries(peers: &PeerTable) -> impl Iterator<Item = SocketAddr> + '_ {
     let near = peers.living().filter(|peer| peers.is_near(peer));
     near.filter(|peer| peer.notice.kind == PeerKind::Entry).map(|peer| peer.notice.from)
--- a/crates/daemon/src/direct/plan_copy.rs
+++ b/crates/daemon/src/direct/plan_copy.rs
@@ -1,5 +1,4 @@
-//! An entry's copy of the plan: the routes in force, how current they are, and whom to ask for
-//! newer ones.
+//! An entry's copy of the plan: the active routes, their age, and the peers to fetch a newer plan from.
 
 use std::{
     net::SocketAddr,
@@ -25,18 +24,18 @@
 
 use crate::decisions;
 
-/// The plan of one entry.
+/// An entry's copy of the plan.
 #[derive(Debug)]
 pub struct PlanCopy {
     routes: RwLock<Option<Arc<RouteTable>>>,
-    /// A plan as it is handed to others, with its version: a dozen may ask for the same one.
+    /// Cached encoding of a plan and its version: a dozen peers may request the same one.
     encoded: Mutex<Option<(PlanVersion, Bytes)>>,
     source: Mutex<PlanSource>,
-    /// The last call to the store for the plan was answered.
+    /// Whether the store responded to the last call for the plan.
     store_responds: AtomicBool,
-    /// Another entry has a newer plan.
+    /// Notified when another entry has a newer plan.
     newer_offered: Notify,
-    /// A newer plan has come into force.
+    /// Notified when a newer plan becomes active.
     applied: Notify,
 }
 
@@ -58,17 +57,17 @@
         self.source.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The routes in force; none before the first plan.
+    /// Returns the active routes; `None` before the first plan.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes.read().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
-    /// The version of the plan in force.
+    /// Returns the version of the active plan.
     pub fn version(&self) -> PlanVersion {
         self.routes().map(|routes| routes.plan().version).unwrap_or_default()
     }
 
-    /// The plan in force as it is handed to others; none before the first.
+    /// Returns the encoded active plan for entries; `None` before the first plan.
     pub fn encoded(&self) -> Option<Bytes> {
         let routes = self.routes()?;
         let version = routes.plan().version;
@@ -85,7 +84,7 @@
         }
     }
 
-    /// What agents need of the plan in force, as it is handed to them; none before the first.
+    /// Returns the encoded part of the active plan that agents need; `None` before the first plan.
     pub fn encoded_for_agents(&self) -> Option<Bytes> {
         let plan = self.routes()?.plan().for_agents();
         match serde_json::to_vec(&plan) {
@@ -97,12 +96,12 @@
         }
     }
 
-    /// How current the plan is.
+    /// Returns how current the plan is.
     pub fn age(&self) -> FactAge {
         *self.source().age()
     }
 
-    /// Takes over a plan if it is newer than the one in force; tells whether it is.
+    /// Activates a plan if it is newer than the active one; returns whether it was.
     pub fn apply(&self, now: Moment, plan: TrafficPlan, source: &str) -> bool {
         let mut routes = self.routes.write().unwrap_or_else(|poisoned| poisoned.into_inner());
         let before = routes.as_ref().map(|routes| routes.plan().version);
@@ -127,25 +126,25 @@
         true
     }
 
-    /// The store has said that nothing newer than the plan in force is there.
+    /// Records that the store has no plan newer than the active one.
     pub fn confirm(&self, now: Moment) {
         let version = ChangeMark(self.version().0);
         self.source().confirm_from_store(now, version);
     }
 
-    /// Notes whether the last call to the store for the plan was answered.
+    /// Records whether the store responded to the last call for the plan.
     pub fn record_store_call(&self, responds: bool) {
         self.store_responds.store(responds, Ordering::Relaxed);
     }
 
-    /// Whether the store answers this entry's calls for the plan, as far as it knows: a watch that
-    /// has not brought what others have does not count as answered.
+    /// Whether the store responds to this entry's calls for the plan, as far as it knows. A watch that
+    /// has not returned a change that other entries have counts as unanswered.
     pub fn reads_store(&self, now: Moment) -> bool {
         self.store_responds.load(Ordering::Relaxed) && !self.source().is_watch_overdue(now)
     }
 
-    /// Another entry has the plan of `version`; tells whether the store is to be read because of
-    /// that.
+    /// Records that another entry has the plan of `version`; returns whether the store has to be read
+    /// as a result.
     pub fn record_peer_version(&self, now: Moment, version: PlanVersion, is_reader: bool) -> bool {
         let mut source = self.source();
         source.record_role(now, is_reader);
@@ -164,12 +163,12 @@
         self.source().age().behind(now).is_some()
     }
 
-    /// Whom to ask for a newer plan now.
+    /// Selects the peer to fetch a newer plan from.
     pub fn holder(&self, now: Moment, view: &PlanHolders) -> Option<SocketAddr> {
         self.source().holder(now, view, rand::random())
     }
 
-    /// A holder was asked and did not hand the plan over.
+    /// Records that a holder did not return a newer plan.
     pub fn record_failed_fetch(&self, holder: SocketAddr) {
         self.source().record_failure(holder);
     }
@@ -179,8 +178,7 @@
         self.newer_offered.notified().await;
     }
 
-    /// Waits until a plan newer than `version` is in force, at most for `time`; tells whether one
-    /// is.
+    /// Waits up to `time` for a plan newer than `version` to become active; returns whether one has.
     pub async fn newer_than(&self, version: PlanVersion, time: Duration) -> bool {
         let until = Instant::now() + time;
         loop {
--- a/crates/daemon/src/direct/plan_sync.rs
+++ b/crates/daemon/src/direct/plan_sync.rs
@@ -1,5 +1,5 @@
-//! Plans from one entry to another: entries that do not read the store have them from those of
-//! their failure domain that do.
+//! Replicates plans between entries: entries that do not read the store fetch them from those of their
+//! failure domain that do.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,34 +15,34 @@
 use super::{front, server_sync, state::EntryState};
 use crate::decisions;
 
-/// Path of the plan among entries.
+/// Path of the plan for other entries.
 const PLAN_PATH: &str = "/plan";
 
-/// Path of what agents need of it.
+/// Path of the part of the plan that agents need.
 const AGENT_PLAN_PATH: &str = "/plan/agents";
 
-/// Time for a plan to come: a dozen entries may ask at once over one link between regions, and a
-/// plan of a megabyte takes 8 s over 1 Mbit/s. Given up earlier, all of it would be asked for again.
+/// Timeout of a plan transfer. A dozen entries may fetch at once over one link between regions, and a
+/// plan of 1 MB takes 8 s at 1 Mbit/s; a shorter timeout would restart the whole transfer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Silence of a holder after which another one is asked: a round trip takes a few milliseconds, and
-/// a full link holds bytes back for less than that.
+/// Time without data from a holder after which another one is tried. A round trip takes a few
+/// milliseconds, and a saturated link delays data for less than this timeout.
 const FETCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest plan: the store holds values of a megabyte, and this form is not much longer.
+/// Maximum size of a plan: the store holds values of up to 1 MB, and this encoding is not much larger.
 const MAX_PLAN_BYTES: usize = 4 << 20;
 
-/// Holders that are asked at a time.
+/// Maximum number of holders queried concurrently.
 const MAX_CONCURRENT_FETCHES: usize = 2;
 
-/// Pause between two looks whom to ask.
+/// Interval between attempts to select a holder.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause after a plan did not come, or was not newer: a holder that cannot help now is not to be
-/// asked for hundreds of kilobytes many times a second.
+/// Delay after a fetch that failed or returned no newer plan, so that a holder is not asked for
+/// hundreds of kilobytes many times a second.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Hands out the plan in force, and the list of servers, to other processes.
+/// Serves the active plan and the list of servers to other processes.
 pub async fn serve(state: Arc<EntryState>, listener: TcpListener) {
     front::serve_answers(listener, move |_, path| answer(&state, path)).await;
 }
@@ -59,12 +59,12 @@
     response
 }
 
-/// Reads the plan that another entry has in force; the error says why there is none.
+/// Fetches the active plan of another entry; the error states why it failed.
 pub async fn fetch(connections: &Connections, address: SocketAddr) -> Result<TrafficPlan, String> {
     fetch_from(connections, address, PLAN_PATH).await
 }
 
-/// Reads what agents need of the plan that an entry has in force.
+/// Fetches the part of an entry's active plan that agents need.
 pub async fn fetch_for_agent(
     connections: &Connections,
     address: SocketAddr,
@@ -77,12 +77,12 @@
     address: SocketAddr,
     path: &str,
 ) -> Result<TrafficPlan, String> {
-    // A connection that has rested may have been cut off meanwhile without a word.
+    // An idle connection may have been dropped without notice, so none is reused.
     let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
     let call = connections.call(address, request, MAX_PLAN_BYTES, FETCH_TIMEOUT);
     let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
     if response.status != StatusCode::OK {
-        return Err(format!("{address}: it answered {} and no plan", response.status));
+        return Err(format!("{address}: plan request returned status {}", response.status));
     }
     let text =
         std::str::from_utf8(&response.body).map_err(|error| format!("{address}: {error}"))?;
@@ -91,7 +91,7 @@
     Ok(plan)
 }
 
-/// Brings in newer plans that other entries have, for ever.
+/// Fetches newer plans from other entries indefinitely.
 pub async fn run(state: Arc<EntryState>) {
     let connections = Connections::default();
     loop {
@@ -102,9 +102,11 @@
     }
 }
 
-/// Asks holders for the newer plan until one has handed it over, or it has come another way.
+/// Fetches the newer plan from its holders until it has been received from one of them or by other
+/// means.
 ///
-/// A holder that has not done so after a while is joined by another one: its link may be narrow.
+/// If a holder has not completed after [`FETCH_SILENCE_TIMEOUT`], a second one is queried: the first
+/// may have a slow link.
 async fn fetch_newer(state: &EntryState, connections: &Connections) {
     let mut calls = FuturesUnordered::new();
     let mut next = Instant::now();
@@ -120,7 +122,7 @@
                 next = Instant::now() + POLL_INTERVAL;
                 if let Some(holder) = state.newer_plan_holder() {
                     calls.push(async move { (holder, fetch(connections, holder).await) });
-                    // Whoever is asked besides is to be somebody else.
+                    // Makes a concurrent fetch choose a different holder.
                     state.plan.record_failed_fetch(holder);
                     next = Instant::now() + FETCH_SILENCE_TIMEOUT;
                 }
@@ -130,7 +132,7 @@
     }
 }
 
-/// Takes over what a holder handed over; tells whether that was newer.
+/// Applies a fetched plan; returns whether it was newer than the active one.
 fn apply_fetched(state: &EntryState, fetched: Result<TrafficPlan, String>) -> bool {
     match fetched {
         Ok(plan) => {
--- a/crates/daemon/src/direct/relay_mail.rs
+++ b/crates/daemon/src/direct/relay_mail.rs
@@ -1,4 +1,4 @@
-//! Composes what a relay of a failure domain tells, and whom.
+//! Composes the bundles that a relay of a failure domain sends, and selects their recipients.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,36 +17,37 @@
 
 use super::{datagram::Datagram, notices::OutgoingDatagram};
 
-/// Turns between two lists of who lives in the own failure domain, for its members.
+/// Turns between rosters of the own failure domain for its members.
 const NEAR_ROSTER_TURNS: u64 = 2;
 
-/// The same of the own failure domain, for relays of others.
+/// Turns between rosters of the own failure domain for relays of others.
 const OUTWARD_ROSTER_TURNS: u64 = 5;
 
-/// The same of other failure domains, for members: they are dropped after 4.8 s of silence.
+/// Turns between rosters of other failure domains for members, which drop a peer that no message
+/// has confirmed for 4.8 s.
 const FAR_ROSTER_TURNS: u64 = 12;
 
-/// Turns between two words of the second relay of what other failure domains have in progress: the
-/// first tells it each turn.
+/// Turns between reports of the loads of other failure domains by the second relay; the first relay
+/// sends them each turn.
 const SECOND_LOAD_TURNS: u64 = 3;
 
-/// Turns between two words of a drain that has not changed.
+/// Turns between repeated reports of an unchanged drain.
 const DRAIN_TURNS: u64 = 3;
 
-/// Largest bundle, in bytes: what is larger is cut in two.
+/// Maximum size of an encoded bundle, in bytes; a larger one is split in two.
 const MAX_BUNDLE_BYTES: usize = 6 << 10;
 
-/// What a relay knows at one turn.
+/// State of a relay at one turn.
 pub struct RelayView<'a> {
-    /// The time.
+    /// Current time.
     pub now: Moment,
-    /// Its rank among the relays of its failure domain.
+    /// Rank among the relays of its failure domain.
     pub rank: usize,
-    /// The peers.
+    /// Known peers.
     pub peers: &'a PeerTable,
-    /// Its own notice, with what its failure domain has in progress if it is the one to tell.
+    /// Own notice, including the loads of its failure domain if this relay reports them.
     pub own: PeerNotice,
-    /// Servers that it sends nothing to.
+    /// Servers that it sends no requests to.
     pub drains: &'a [DrainNotice],
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl BundleWriter {
-    /// The writer of a relay in `domain` that has told nothing yet.
+    /// Creates the writer of a relay in `domain` that has sent nothing yet.
     pub fn new(domain: DomainKey) -> Self {
         Self {
             domain,
@@ -72,25 +73,25 @@
         }
     }
 
-    /// Takes in a bundle that came to `own`, and takes out what its sender cannot know.
+    /// Records a bundle received at `own` and removes contents that its sender cannot know reliably.
     pub fn receive(&mut self, now: Moment, own: SocketAddr, bundle: &mut PeerBundle) {
         if bundle.domain == self.domain {
             return;
         }
         self.far_relays.record_bundle(now, own, bundle);
-        // Whoever hears nobody sums up loads that its failure domain no longer has.
+        // A sender that receives nothing sums up outdated loads of its failure domain.
         if self.far_relays.is_one_way(now, bundle.from) {
             bundle.notices.iter_mut().for_each(|relayed| relayed.notice.domain_loads = None);
         }
     }
 
-    /// The rank with which an entry relays that has this one by its address: other failure domains may
-    /// ask an entry to relay because those before it do not hear or are not heard.
+    /// Returns the relay rank of an entry whose rank by address is `by_address`. Other failure domains
+    /// may use an entry as a relay because those before it cannot receive or cannot be received.
     pub fn rank(&self, now: Moment, by_address: Option<usize>) -> Option<usize> {
         by_address.or_else(|| self.far_relays.is_used_as_relay(now).then_some(RELAYS))
     }
 
-    /// The relays of other failure domains that are told something now.
+    /// Selects the relays of other failure domains to send to now.
     fn far_targets(&mut self, view: &RelayView<'_>) -> Vec<SocketAddr> {
         let entries = view.peers.far_entries(view.now);
         self.far_relays.select_targets(
@@ -100,7 +101,7 @@
         )
     }
 
-    /// What is due at a regular turn, every 100 ms.
+    /// Composes the datagrams of a regular turn, every 100 ms.
     pub fn periodic(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         self.turn += 1;
         let repeats = self.turn.is_multiple_of(NEAR_ROSTER_TURNS);
@@ -111,7 +112,7 @@
         outgoing
     }
 
-    /// What cannot wait for the next turn.
+    /// Composes the datagrams that cannot wait for the next turn.
     pub fn urgent(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         let due = self.outbox.take_due(view.now, view.peers, false);
         let mut outgoing = self.drain_datagrams(view, false);
@@ -127,8 +128,7 @@
         outgoing
     }
 
-    /// Everything that is known of the own failure domain, for relays of others that have just become
-    /// known.
+    /// Composes the complete state of the own failure domain for newly discovered relays of others.
     fn new_relay_datagrams(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         let told = self.far_targets(view);
         let new = self.outbox.take_new_relays(&told);
@@ -140,8 +140,7 @@
         address_bundle(self.bundle(view, vec![roster], near_agents), new)
     }
 
-    /// Everything that is known, for members that have just come: they wait for it to take part in
-    /// transfers.
+    /// Composes the complete known state for new members, which need it to take part in transfers.
     fn new_member_datagrams(&mut self, view: &RelayView<'_>) -> Vec<OutgoingDatagram> {
         let new_members = self.outbox.take_new_members(view.peers);
         if new_members.is_empty() {
@@ -176,7 +175,7 @@
         let own = PeerNotice { domain_loads: None, ..view.own.clone() };
         let own = RelayedNotice { notice: own, age: Duration::ZERO };
         let mut for_agents = due.agents.clone();
-        // Agents need only who lives, and what is wanted.
+        // Agents need only the living peers and the wanted versions.
         if !rosters.is_empty() {
             let facts = PeerNotice {
                 leaving: Vec::new(),
@@ -209,7 +208,7 @@
             received_from = self.far_relays.received_from(view.now);
         }
         if self.turn.is_multiple_of(FAR_ROSTER_TURNS) {
-            // A relay may not have heard of some failure domain yet.
+            // A relay may not know some failure domain yet.
             let far = view.peers.far_domains().into_iter();
             rosters.extend(far.map(|domain| view.peers.roster(view.now, domain, view.own.kind)));
         }
@@ -219,8 +218,8 @@
         address_bundle(bundle, self.far_targets(view))
     }
 
-    /// What the entries of the own failure domain say of servers that are about to change, for the
-    /// agents of these.
+    /// Composes drain reports of the own failure domain's entries for the agents whose servers are
+    /// about to change.
     fn drain_datagrams(&mut self, view: &RelayView<'_>, repeats: bool) -> Vec<OutgoingDatagram> {
         let mut changing = BTreeSet::new();
         let mut outgoing = Vec::new();
@@ -244,7 +243,7 @@
     }
 }
 
-/// What other failure domains have in progress, as their entries told.
+/// Returns the loads of other failure domains, as reported by their entries.
 fn far_loads(view: &RelayView<'_>) -> Vec<RelayedNotice> {
     let told = view.peers.domain_loads();
     let relayed = told.filter_map(|told| {
@@ -260,7 +259,7 @@
     view.peers.living().filter(is_member).map(|peer| peer.notice.from).collect()
 }
 
-/// The datagrams of a bundle; none if there is nothing in it.
+/// Returns the datagrams of a bundle; none if it is empty or has no recipients.
 fn address_bundle(bundle: PeerBundle, targets: Vec<SocketAddr>) -> Vec<OutgoingDatagram> {
     let is_empty = bundle.rosters.is_empty() && bundle.notices.is_empty();
     if is_empty || targets.is_empty() {
@@ -270,7 +269,7 @@
     datagrams.map(|bytes| OutgoingDatagram { bytes, targets: targets.clone() }).collect()
 }
 
-/// A bundle as datagrams that are not too large.
+/// Encodes a bundle, split into datagrams of at most [`MAX_BUNDLE_BYTES`] where possible.
 fn datagrams(bundle: PeerBundle) -> Vec<Vec<u8>> {
     let bytes = Datagram::Bundle(bundle.clone()).encode();
     if bytes.len() <= MAX_BUNDLE_BYTES || bundle.rosters.len() + bundle.notices.len() <= 1 {
--- a/crates/daemon/src/direct/server_sync.rs
+++ b/crates/daemon/src/direct/server_sync.rs
@@ -1,5 +1,5 @@
-//! The list of servers from one entry to another: entries that do not read the store have what has
-//! changed from those of their failure domain that do.
+//! Replicates the list of servers between entries: entries that do not read the store fetch changes
+//! from those of their failure domain that do.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,31 +13,31 @@
 use super::state::EntryState;
 use crate::decisions;
 
-/// Path of the list among entries; the place up to which the asker knows everything follows.
+/// Path of the list for other entries, followed by the revision up to which the caller is complete.
 pub(super) const SERVERS_PATH: &str = "/servers/";
 
-/// Time for an answer: a list of a thousand servers takes 0.1 s over a link of 40 Mbit/s, and 3.2 s
-/// over 1 Mbit/s. Given up earlier, all of it would be asked for again.
+/// Timeout of a response. A list of a thousand servers takes 0.1 s at 40 Mbit/s and 3.2 s at 1 Mbit/s;
+/// a shorter timeout would restart the whole transfer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence of a holder after which another one is asked, as for plans.
+/// Time without data from a holder after which the fetch fails, as for plans.
 const FETCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest answer: a record takes about 400 bytes, 720 servers are designed for.
+/// Maximum size of a response: a record takes about 400 bytes, and the design limit is 720 servers.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Pause after each answer, in which further changes gather: a server that leaves is told in notices
-/// besides, and what agents tell of their servers comes before the list does.
+/// Delay after each response, to batch further changes. Notices also report leaving servers, and the
+/// agents' notices about their servers arrive before the list does.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Time for which an entry of another failure domain is not asked: the readers of the own one are
-/// about to hear the same.
+/// Time before an entry of another failure domain is queried: the readers of the own failure domain are
+/// about to receive the same changes.
 const FAR_HOLDER_DELAY: Duration = Duration::from_millis(600);
 
-/// Time for which an entry that reads the store itself waits for that.
+/// Time for which an entry that reads the store itself waits for the store before querying others.
 const READER_DELAY: Duration = Duration::from_millis(1200);
 
-/// The answer to an entry that asks for `path`; none if that is no such question, or if nothing is
+/// Returns the response to a request for `path`; `None` if the path is a different one or no list is
 /// known yet.
 pub(super) fn answer(state: &EntryState, path: &str) -> Option<Bytes> {
     let after: u64 = path.strip_prefix(SERVERS_PATH)?.parse().ok()?;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Brings in changes of servers that other entries have, for ever.
+/// Fetches server changes from other entries indefinitely.
 pub async fn run(state: Arc<EntryState>) {
     let connections = Connections::default();
     loop {
@@ -68,7 +68,8 @@
     }
 }
 
-/// An entry to ask for what is missing here; none if nothing is, or if it is about to come anyway.
+/// Selects an entry to fetch missing changes from; `None` if none are missing or they are about to
+/// arrive by other means.
 fn holder(state: &EntryState) -> Option<SocketAddr> {
     let age = state.servers_age();
     let behind = age.behind(state.now())?;
@@ -91,12 +92,12 @@
     after: ChangeMark,
 ) -> Result<ServerChanges, String> {
     let path = format!("{SERVERS_PATH}{after}");
-    // A connection that has rested may have been cut off meanwhile without a word.
+    // An idle connection may have been dropped without notice, so none is reused.
     let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
     let call = connections.call(address, request, MAX_RESPONSE_BYTES, FETCH_TIMEOUT);
     let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
     if response.status != StatusCode::OK {
-        return Err(format!("{address}: it answered {} and no list", response.status));
+        return Err(format!("{address}: server list request returned status {}", response.status));
     }
     serde_json::from_slice(&response.body).map_err(|error| format!("{address}: {error}"))
 }
--- a/crates/daemon/src/direct/transfer_peers.rs
+++ b/crates/daemon/src/direct/transfer_peers.rs
@@ -1,4 +1,4 @@
-//! Who takes part in a transfer of weights: the agents of this server's service.
+//! Participants of a weight transfer: the agents of this server's service.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -16,8 +16,8 @@
 use super::agent::{AgentState, lock};
 use crate::agent::swarm::peer_key;
 
-/// The agents of this server's service, this one among them: all of them come to hold the wanted
-/// version, also those that have not begun yet.
+/// Returns the agents of this server's service, including this one. All of them will hold the wanted
+/// version, including those that have not started the transfer yet.
 pub(super) fn transfer_peers(state: &AgentState) -> Vec<(PeerLocation, SocketAddr)> {
     let service = state.settings.service.as_deref().unwrap_or_default();
     let own = (own_location(state), state.settings.node.control);
@@ -30,24 +30,24 @@
     others.chain([own]).collect()
 }
 
-/// Who may read a manifest, and who holds it.
+/// Rank of this agent as a reader of a manifest, and the agents that hold it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ManifestReaders {
-    /// Rank of this agent among those of its service; each failure domain has its share of the first.
+    /// Rank of this agent among those of its service; the ranks alternate between failure domains.
     pub(super) rank: usize,
     /// Rank of this agent among those of its failure domain.
     pub(super) near_rank: usize,
-    /// Time for which the number of known agents has stood still.
+    /// Time for which the number of known agents has not changed.
     pub(super) steady: Duration,
-    /// No other agent of the service is known.
+    /// Whether no other agent of the service is known.
     pub(super) is_alone: bool,
-    /// Agents that hold the manifest: those of the own failure domain if there are any.
+    /// Agents that hold the manifest; only those of the own failure domain if there are any.
     pub(super) holders: Vec<SocketAddr>,
-    /// Whether the holders are of the own failure domain.
+    /// Whether the holders are in the own failure domain.
     pub(super) holders_near: bool,
 }
 
-/// Who may read the manifest of `version`, and who holds it.
+/// Determines the reader rank of this agent for the manifest of `version`, and its holders.
 pub(super) fn manifest_readers(state: &AgentState, version: WeightVersion) -> ManifestReaders {
     let node = &state.settings.node;
     let peers_of_service = transfer_peers(state);
@@ -78,7 +78,7 @@
     }
 }
 
-/// The seat of this agent.
+/// Returns the location of this agent.
 pub(super) fn own_location(state: &AgentState) -> PeerLocation {
     let node = &state.settings.node;
     location(state, node.control, &node.domain)
@@ -90,7 +90,7 @@
     PeerLocation { key: state.seat_key(control), domain: domain.key(), region }
 }
 
-/// The key of an agent's seat: every agent works it out alike from the address.
+/// Derives an agent's peer key from its address, so that every agent computes the same key.
 pub fn agent_peer_key(control: SocketAddr) -> PeerKey {
     let text = control.ip().to_string().replace(':', "-");
     let id: BoxId = text.parse().expect("an IP number makes a name");
