--- a/crates/daemon/tests/datagram.rs
+++ b/crates/daemon/tests/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams between processes: what is written is read again, and anything else is no datagram.
+//! Encoding of datagrams: encoded datagrams decode to the same value, and arbitrary bytes decode without
+//! a panic.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -56,7 +57,7 @@
 proptest! {
     #[test]
     fn any_bytes_are_read_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        // Whether they are a datagram does not matter here.
+        // Only the absence of a panic matters here.
         let _ = Datagram::decode(&bytes);
     }
 
--- a/crates/daemon/tests/decoders.rs
+++ b/crates/daemon/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders of what other nodes send: nothing they read may break a daemon.
+//! Decoders of messages from other nodes: no input may cause a panic.
 
 use headlatch_core::burst::{ChunkSet, DrawPool, DrawTicket, SwarmNote};
 use headlatch_daemon::node::codec;
--- a/crates/daemon/tests/notice_writer.rs
+++ b/crates/daemon/tests/notice_writer.rs
@@ -1,4 +1,5 @@
-//! Whom notices go to: what a process sends must not grow with the square of their number.
+//! Recipients of notices: the traffic of a process must not grow with the square of the number of
+//! processes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -33,7 +34,8 @@
     PeerNotice::empty(address(domain, last), kind, domain)
 }
 
-/// Ten entries near, and thirty far.
+/// Creates a peer table of ten entries in the own failure domain, including the owner, and thirty in
+/// another one.
 fn peers() -> PeerTable {
     let mut peers = PeerTable::new(address(NEAR, 1), NEAR);
     let near = (2..=10).map(|last| living(PeerKind::Entry, NEAR, last));
@@ -63,7 +65,7 @@
             far += datagram.targets.len() - to_near;
         }
     }
-    // Ten seconds: nine peers ten times a second, thirty every 1.5 s, and a few names.
+    // In 10 s: nine peers ten times a second, thirty every 1.5 s, and a few advertisements.
     expect_that!(near, all![ge(900), le(950)]);
     expect_that!(far, all![ge(180), le(240)]);
     expect_that!(bytes, lt(70_000));
@@ -74,7 +76,7 @@
     let peers = peers();
     let mut writer = NoticeWriter::new(address(NEAR, 1), PeerKind::Entry, NEAR);
     let mut told = 0;
-    // In the first ticks it may be the only one of its domain that it knows.
+    // In the first ticks it may know no other entry of its failure domain.
     for tick in 1..=4 {
         let sum = LoadNotice { server: 9, load: EngineLoad::default() };
         let body = NoticeBody { domain_loads: Some(vec![sum]), ..body(tick) };
@@ -97,7 +99,7 @@
     expect_that!(told, eq(20));
 }
 
-/// Whom a tick's notices go to.
+/// Returns the recipients of a tick's notices.
 fn recipients(writer: &mut NoticeWriter, peers: &PeerTable, body: &NoticeBody) -> Vec<SocketAddr> {
     writer.tick(peers, body.clone()).into_iter().flat_map(|datagram| datagram.targets).collect()
 }
@@ -154,7 +156,7 @@
     expect_that!(decode(b"no notice"), none());
 }
 
-/// A word of each kind on requests under which servers ended.
+/// Returns a notice of each kind about requests during which servers terminated.
 fn suspects() -> Vec<SuspectNotice> {
     let digest = RequestDigest(u64::MAX - 5);
     let ended = [ProgressAtEnd::Silent, ProgressAtEnd::Begun].map(|run| SuspectNotice::Ended {
@@ -167,7 +169,7 @@
     [ended, others].concat()
 }
 
-/// Every entry tells at once of the requests of all servers that were lost in one moment.
+/// When many servers fail at once, every entry reports the requests of all of them in one notice.
 #[gtest]
 fn many_suspects_fit_into_a_notice() {
     let suspects = suspects().into_iter().cycle().take(MAX_NOTICES).collect();
@@ -175,14 +177,14 @@
     expect_that!(encode(&notice).len(), lt(MAX_DATAGRAM_BYTES / 6));
 }
 
-/// Sixty-four servers that leave, of which every notice in full tells.
+/// Returns 64 leaving servers, the most that a notice holds; every full notice includes them.
 fn leaving() -> Vec<LeavingNotice> {
     let notice = |server| LeavingNotice { server, revision: ChangeMark(9), returned: false };
     (0..MAX_LEAVING_NOTICES as u32).map(notice).collect()
 }
 
-/// After a loss of power of hundreds of processes everybody knows hundreds of addresses of others and
-/// hears of dozens of servers that are gone.
+/// After a power failure of hundreds of processes, each process knows hundreds of candidate addresses
+/// and dozens of servers that are gone.
 #[gtest]
 fn candidate_addresses_are_pinged_in_rotation_with_few_bytes() {
     let mut peers = PeerTable::new(address(NEAR, 1), NEAR);
@@ -199,12 +201,12 @@
             tried.extend(datagram.targets);
         }
     }
-    expect_that!(tried.len(), eq(count), "all are tried within two seconds");
-    expect_that!(bytes, lt(60_000), "and take a few tens of kilobytes");
+    expect_that!(tried.len(), eq(count), "all are pinged within two seconds");
+    expect_that!(bytes, lt(60_000), "total size of the pings");
 }
 
-/// Which servers leave is told to other failure domains at once, and then again now and then, not
-/// with each sum of loads.
+/// Leaving servers are reported to other failure domains at once and then periodically, not with each
+/// load report.
 #[gtest]
 fn sums_of_a_domain_do_not_repeat_which_servers_leave_each_time() {
     let peers = peers();
@@ -221,11 +223,12 @@
             told.push(tick);
         }
     }
-    expect_that!(told.first(), some(eq(&30)), "at once");
-    expect_that!(told.len(), all![ge(14), le(16)], "and each half a second");
+    expect_that!(told.first(), some(eq(&30)), "first report");
+    expect_that!(told.len(), all![ge(14), le(16)], "reports every half second");
 }
 
-/// An entry that has just started takes itself for the first of its failure domain.
+/// An entry that has just started may know no other entry and so rank itself first in its failure
+/// domain.
 #[gtest]
 fn an_entry_that_has_just_started_does_not_report_for_its_domain() {
     let peers = peers();
@@ -241,8 +244,7 @@
     expect_that!(reported, eq(&vec![false, false, false, false, true, true, true, true]));
 }
 
-/// Beyond the mesh limit relays tell who lives: names from all entries to all newcomers are not
-/// needed.
+/// Beyond the mesh limit, rosters of the relays replace advertisements from every entry to new peers.
 #[gtest]
 fn beyond_the_mesh_limit_only_relays_advertise_peers() {
     let relay = peers();
--- a/crates/daemon/tests/read_gate.rs
+++ b/crates/daemon/tests/read_gate.rs
@@ -1,4 +1,4 @@
-//! Followers of a topic whose gate is closed: what they call the store for, and what not.
+//! Store calls of topic readers whose gate is closed.
 
 use std::{
     sync::{
@@ -17,17 +17,17 @@
 use headlatch_types::ByteProgress;
 use tokio::sync::Notify;
 
-/// A store that counts its calls, and fails all of them if it is told to.
+/// A store that counts its calls, and fails every list while `fails` is set.
 #[derive(Debug, Default)]
 struct CountingStore {
     lists: AtomicU32,
     watches: AtomicU32,
     fails: AtomicBool,
-    /// A watch was given up before it ended.
+    /// Whether a watch was cancelled.
     cancelled: Arc<AtomicBool>,
 }
 
-/// Notes that a watch was given up, when it is dropped.
+/// Records the cancellation of a watch when dropped.
 struct WatchGuard(Arc<AtomicBool>);
 
 impl Drop for WatchGuard {
@@ -85,7 +85,7 @@
         self.answered.store(answered, Ordering::Relaxed);
     }
 
-    /// Watches of these tests are never answered, and are to end by their gate alone.
+    /// Watches of these tests never complete, so that only the gate can end them.
     fn role(&self) -> ReaderRole {
         ReaderRole::Standby
     }
@@ -112,14 +112,14 @@
     }
 }
 
-/// Waits until `done` holds; a test that waits in vain is ended by its runner.
+/// Waits until `done` holds; the test runner's timeout ends a wait without success.
 async fn until(done: impl Fn() -> bool) {
     while !done() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Lets a follower look at a closed gate once or twice: however long it takes, it must call nobody.
+/// Waits for one or two polls of a closed gate; a longer wait must not cause calls either.
 async fn wait_for_polls() {
     tokio::time::sleep(Duration::from_millis(450)).await;
 }
@@ -132,7 +132,7 @@
     expect_that!(fixture.calls(), eq((0, 0)));
     fixture.gate.open.store(true, Ordering::Relaxed);
     until(|| fixture.calls() == (1, 1)).await;
-    // Another entry has come that reads in its place: the watch is given up, and nothing is listed.
+    // Another entry has taken over reading: the watch is cancelled, and nothing is listed.
     fixture.gate.open.store(false, Ordering::Relaxed);
     until(|| fixture.store.cancelled.load(Ordering::Relaxed)).await;
     wait_for_polls().await;
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -1,5 +1,5 @@
-//! Processes that tell each other of themselves, in virtual time: what each sends and hears, and how
-//! soon it is known, where relays hand on what members tell.
+//! Simulates processes that exchange notices through relays, in virtual time: the number of datagrams
+//! that each sends and receives, and how fast changes propagate.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,20 +28,20 @@
 const MESH_LIMIT: usize = 40;
 const TICK: Duration = Duration::from_millis(100);
 
-/// Part of the datagrams that are lost.
+/// Fraction of the datagrams that are lost.
 const LOSS: f64 = 0.01;
 
-/// What is lost on the way to and from a process that goes on saying that it lives.
+/// Link fault of a process that keeps sending keep-alive notices.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum LinkCut {
     #[default]
     None,
-    /// It hears nothing.
+    /// The process receives nothing.
     NoReceive,
-    /// Other failure domains do not hear it.
+    /// Other failure domains do not receive its datagrams.
     NoSendFar,
-    /// It hears nothing, and other failure domains do not hear it: it is as good as paused, but says
-    /// near by that it lives.
+    /// The process receives nothing, and only its own failure domain receives its datagrams: it acts
+    /// like a paused process, but its own failure domain considers it alive.
     NoReceiveNoSendFar,
 }
 
@@ -54,19 +54,19 @@
     bundles: BundleWriter,
     relays: NearRelays,
     server: Option<ServerNotice>,
-    /// Servers that it has heard to be changing, if it is an entry.
+    /// Servers known to be about to change, if it is an entry.
     drains: Vec<DrainNotice>,
-    /// Requests under which servers ended, if it is an entry.
+    /// Requests during which servers terminated, if it is an entry.
     suspects: SuspectTable,
     alive: bool,
-    /// What is lost on the way to and from it.
+    /// Link fault of this process.
     cut: LinkCut,
     sent: usize,
     received: usize,
     bytes: usize,
 }
 
-/// Processes in virtual time; datagrams take no time within a tick.
+/// Processes in virtual time; datagrams are delivered instantly within a tick.
 struct Simulation {
     now: Moment,
     rng: SmallRng,
@@ -78,7 +78,7 @@
     SocketAddr::from(([10, domain, 0, last], 7700))
 }
 
-/// A process that starts at `now` and knows two seeds.
+/// Creates a process that starts at `now` and knows two seed addresses.
 fn process(now: Moment, domain: u8, last: u8, kind: PeerKind) -> Process {
     let at = address(domain, last);
     let key = DomainKey(domain.into());
@@ -148,7 +148,7 @@
         datagrams
     }
 
-    /// Takes in a datagram; names for one that has just been found.
+    /// Applies a datagram; returns an advertisement of peers for a newly discovered sender.
     fn receive(&mut self, now: Moment, bytes: &[u8]) -> Option<OutgoingDatagram> {
         self.received += 1;
         self.bytes += bytes.len();
@@ -205,7 +205,7 @@
 }
 
 impl Simulation {
-    /// `size` processes, half of them entries, that start together.
+    /// Creates `size` processes, half of them entries, that start at the same time.
     fn new(size: u8, seed: u64) -> Self {
         let kind = |last: u8| if last % 2 == 1 { PeerKind::Entry } else { PeerKind::Agent };
         let each = size / DOMAINS;
@@ -261,7 +261,7 @@
         cannot_receive || (cannot_send && from.domain != to.domain)
     }
 
-    /// Cuts the first `count` entries of failure domain 2 in one way, whether they relay or not.
+    /// Applies a link fault to the first `count` entries of failure domain 2, whether relays or not.
     fn cut_entries(&mut self, count: usize, cut: LinkCut) {
         for last in (1..).step_by(2).take(count) {
             let nth = self.index[&address(2, last)];
@@ -269,7 +269,8 @@
         }
     }
 
-    /// Entries that relay because others ask them to, beyond the two of each failure domain.
+    /// Counts the entries that relay because other failure domains use them as relays, beyond the two
+    /// regular relays of each failure domain.
     fn relays_on_request(&self) -> usize {
         let entries = self.processes.iter().filter(|process| process.kind == PeerKind::Entry);
         let by_address = |process: &&Process| process.peers.relay_rank().is_none();
@@ -279,7 +280,7 @@
             .count()
     }
 
-    /// Cuts the first `count` relays of failure domain 2 in one way.
+    /// Applies a link fault to the first `count` relays of failure domain 2.
     fn cut_relays(&mut self, count: usize, cut: LinkCut) {
         let relays = self.relays().into_iter();
         let second: Vec<usize> =
@@ -287,15 +288,15 @@
         second.into_iter().for_each(|nth| self.processes[nth].cut = cut);
     }
 
-    /// The least number of peers that a living process knows which is not cut.
+    /// Returns the minimum number of peers known to a living process without a link fault.
     fn min_known_peers_uncut(&self) -> usize {
         let whole =
             self.processes.iter().filter(|process| process.alive && process.cut == LinkCut::None);
         whole.map(|process| process.peers.living().count()).min().unwrap_or(0)
     }
 
-    /// Sets whose server in failure domain 2 changes, and tells how many agents elsewhere have heard
-    /// it after `time`.
+    /// Changes a server in failure domain 2, and counts the agents of other failure domains that know
+    /// of it after `time`.
     fn agents_that_learn_of_a_change(&mut self, time: Duration) -> usize {
         let nth = self.index[&address(2, 10)];
         let server = self.processes[nth].server.as_mut().expect("an agent has a server");
@@ -320,7 +321,7 @@
         self.processes.iter().filter(|process| process.kind == PeerKind::Agent && process.alive)
     }
 
-    /// Entries that relay.
+    /// Returns the entries that are relays by address.
     fn relays(&self) -> Vec<usize> {
         let living = self.processes.iter().enumerate().filter(|(_, process)| process.alive);
         let entries = living.filter(|(_, process)| process.kind == PeerKind::Entry);
@@ -330,13 +331,13 @@
             .collect()
     }
 
-    /// The least number of peers that a living process knows.
+    /// Returns the minimum number of peers known to a living process.
     fn min_known_peers(&self) -> usize {
         let known = self.processes.iter().filter(|process| process.alive);
         known.map(|process| process.peers.living().count()).min().unwrap_or(0)
     }
 
-    /// Agents that know the whole weights of every other agent.
+    /// Counts the agents that know the server of every other agent.
     fn agents_that_know_all(&self) -> usize {
         let all = self.agents().count();
         let told = |process: &Process| {
@@ -347,7 +348,7 @@
     }
 }
 
-/// Datagrams a second that an agent sends and hears, the most of all agents, once all are known.
+/// Maximum over all agents of the datagrams per second sent and received after discovery.
 fn agent_datagrams(size: u8) -> f64 {
     let mut simulation = Simulation::new(size, 7);
     simulation.run(Duration::from_secs(6));
@@ -361,7 +362,7 @@
 fn what_an_agent_sends_and_hears_does_not_grow_with_the_number_of_processes() {
     let figures: BTreeMap<u8, f64> =
         [60, 120, 240].into_iter().map(|size| (size, agent_datagrams(size))).collect();
-    // Two relays, ten a second each, and its own four.
+    // Ten datagrams per second from each of two relays, and four of its own.
     for (size, figure) in &figures {
         expect_that!(*figure, lt(40.0), "{size} processes");
     }
@@ -388,7 +389,7 @@
         .collect();
     expect_that!(dead.len(), eq(RELAYS));
     dead.iter().for_each(|nth| simulation.processes[*nth].alive = false);
-    // Nobody that lives is taken for dead meanwhile, and others relay before long.
+    // No living process may be considered dead, and other entries must take over as relays.
     for _ in 0..60 {
         simulation.run(TICK);
         expect_that!(simulation.min_known_peers(), ge(197));
@@ -424,15 +425,16 @@
     expect_that!(servers, eq(99));
 }
 
-/// A relay that is cut one way goes on saying that it lives. Nobody else is taken for dead for it, and
-/// what changes at a server of its failure domain is known elsewhere.
+/// Guards against a relay with a one-way link fault, which still appears alive to its members: no other
+/// process may be considered dead because of it, and server changes of its failure domain must reach
+/// the others.
 fn expect_others_unharmed(count: usize, cut: LinkCut) {
     let mut simulation = Simulation::new(200, 8);
     simulation.run(Duration::from_secs(6));
     simulation.cut_relays(count, cut);
     for tick in 0..100 {
         simulation.run(TICK);
-        // Of itself a deaf or mute process may be lost elsewhere.
+        // The faulty processes themselves may be considered dead elsewhere.
         let known = simulation.min_known_peers_uncut();
         expect_that!(known, ge(199 - count), "{count} {cut:?}, tick {tick}");
     }
@@ -463,7 +465,8 @@
     expect_others_unharmed(2, LinkCut::NoSendFar);
 }
 
-/// Expects that nobody who is not cut is lost for `ticks`, where `cut` entries are.
+/// Expects that for `ticks` no process without a link fault loses a peer, other than the `cut` faulty
+/// entries.
 fn expect_known(simulation: &mut Simulation, cut: usize, ticks: usize, what: &str) {
     for tick in 0..ticks {
         simulation.run(TICK);
@@ -520,8 +523,9 @@
     }
 }
 
-/// Entries of two failure domains saw one end each of two under the same request; all entries refuse it,
-/// by what relays tell, well within the three seconds that they have, and one that starts later as well.
+/// Two servers terminate during the same request, each observed by an entry of a different failure
+/// domain. Through the relays, all entries must refuse the request well within the limit of 3 s, and so
+/// must an entry that starts later.
 #[gtest]
 fn all_entries_refuse_what_servers_ended_under_in_two_failure_domains() {
     for seed in 1..=4 {
@@ -542,7 +546,7 @@
         let entries = simulation.processes.iter().filter(|process| process.kind == PeerKind::Entry);
         let missing = entries.filter(|process| !refuses(&simulation, process)).count();
         expect_that!(missing, eq(0), "seed {seed}");
-        // Long after nobody has anything new to tell.
+        // Long after the last change has been sent.
         simulation.run(Duration::from_secs(20));
         let late = simulation.index[&address(3, 9)];
         simulation.processes[late] = process(simulation.now, 3, 9, PeerKind::Entry);
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -1,5 +1,5 @@
-//! Sources that are met with silence: how long an entry keeps an old picture while others know
-//! better. All of it in virtual time.
+//! Unresponsive sources, in virtual time: how long an entry keeps outdated data while other processes
+//! have newer data.
 
 use std::{
     net::SocketAddr,
@@ -30,11 +30,11 @@
 use http::{HeaderMap, StatusCode};
 use tokio::{sync::Notify, time::Instant};
 
-/// Time after which the platform's client gives a silent call up at the latest.
+/// Maximum time until the platform's client times out a call without a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A store that meets every call with silence until a moment, and answers those that come later.
-/// What it met with silence it never answers.
+/// A store that does not respond to calls made before `answers_from`, not even later, and responds to
+/// those made afterwards.
 #[derive(Debug)]
 struct SilentStore {
     answers_from: Instant,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Time between the store's return and the first list, for a follower that has called in vain for
-/// `silence`.
+/// Time from the store's recovery to the first successful list, for a reader whose calls went
+/// unanswered for `silence`.
 async fn time_to_list(silence: Duration) -> Duration {
     let store = Arc::new(SilentStore { answers_from: Instant::now() + silence });
     let returned = store.answers_from;
@@ -87,8 +87,8 @@
     returned.elapsed()
 }
 
-/// A process is in touch three seconds after the store's return, and a change that was accepted
-/// in between is then due: the store must have been read well before.
+/// A process must be up to date 3 s after the store recovers, including changes accepted in between, so
+/// the store must be read well before.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_store_that_was_silent_is_read_soon_after_its_return() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Headers of no outside: these tests send no requests.
+/// Header format that reads and writes nothing: these tests send no requests.
 #[derive(Debug)]
 struct NoHeaders;
 
@@ -138,7 +138,7 @@
     TrafficPlan { version: PlanVersion(version), ..TrafficPlan::default() }
 }
 
-/// Lets an entry of another failure domain say that it has `version`.
+/// Delivers a notice of an entry of another failure domain that has plan `version`.
 fn receive_plan_version(state: &EntryState, version: u64) {
     static SEQUENCE: AtomicU64 = AtomicU64::new(1);
     let from: SocketAddr = "10.1.0.1:7700".parse().expect("an address");
@@ -152,9 +152,9 @@
     state.record_peer_plan_version(PlanVersion(version));
 }
 
-/// An entry reads the store and its watch says nothing, while another failure domain tells ten
-/// times a second that there is a newer plan: from half a second on it may ask for it there at
-/// any moment, however often that has failed.
+/// An entry reads the store, but its watch returns nothing, while another failure domain advertises a
+/// newer plan ten times a second. After 500 ms the entry must be able to fetch it there at any time,
+/// regardless of the number of failures.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_stays_behind_goes_on_asking() {
@@ -169,7 +169,7 @@
     }
 }
 
-/// A request that the plan in force does not allow waits for the newer one, but not for ever.
+/// A request that the active plan does not allow waits for a newer plan, but only for a limited time.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_newer_plan_is_waited_for_until_it_is_here_or_the_time_is_over() {
@@ -190,8 +190,8 @@
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(true));
 }
 
-/// Lets an entry of the own failure domain, the first one by address, say whether the store answers
-/// it.
+/// Delivers a notice of the entry of the own failure domain that is first by address, stating whether
+/// the store responds to it.
 fn receive_near_notice(state: &EntryState, sequence: u64, reads_store: bool) {
     let from: SocketAddr = "10.0.0.0:7700".parse().expect("an address");
     let domain: DomainId = "z1".parse().expect("a name");
@@ -203,8 +203,7 @@
     state.peers().receive(state.now(), notice);
 }
 
-/// One entry of a failure domain watches the store closely: the first by address whose calls are
-/// answered.
+/// The active reader of a failure domain is the first entry by address to which the store responds.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn the_active_role_passes_on_when_the_first_entry_loses_the_store() {
@@ -216,7 +215,7 @@
     expect_that!(state.role(), eq(ReaderRole::Active));
     receive_near_notice(&state, 3, true);
     expect_that!(state.role(), eq(ReaderRole::Standby));
-    // The first entry has fallen silent.
+    // The first entry has stopped sending notices.
     tokio::time::sleep(Duration::from_secs(6)).await;
     state.refresh_loads();
     expect_that!(state.role(), eq(ReaderRole::Active));
