--- a/crates/daemon/src/direct/agent.rs
+++ b/crates/daemon/src/direct/agent.rs
@@ -40,10 +40,10 @@
     agent_notices,
     agent_plan::AgentPlan,
     datagram::DatagramCarrier,
-    facts::{FactNews, ReadGate, ReaderDuty, follow, set_facts},
-    seats::seat_key,
+    facts::{FactUpdate, ReadGate, ReaderRole, follow, readable_facts},
     stager::Stager,
     transfer::{TransferManager, TransferResources},
+    transfer_peers::agent_peer_key,
 };
 use crate::{
     agent::{bind_control, chunk_cache::ChunkCache, registry::SwarmRegistry},
@@ -267,8 +267,8 @@
     fn note(&self, _answered: bool) {}
 
     /// Agents only stand by, since entries of all failure domains send them the target versions.
-    fn duty(&self) -> ReaderDuty {
-        ReaderDuty::StandsBy
+    fn role(&self) -> ReaderRole {
+        ReaderRole::Standby
     }
 }
 
@@ -278,8 +278,8 @@
         lock(&self.wanted).versions(self.node.now(), model)
     }
 
-    fn record_weights(&self, news: FactNews) {
-        for fact in set_facts(news) {
+    fn record_weights(&self, news: FactUpdate) {
+        for fact in readable_facts(news) {
             if let Fact::Weights(weights) = fact {
                 self.record_wanted(&weights.model, weights.version, Duration::ZERO);
             }
@@ -327,7 +327,7 @@
 
     /// Returns the key of the seat of the agent at `control`.
     pub(super) fn seat_key(&self, control: SocketAddr) -> PeerKey {
-        *lock(&self.seat_keys).entry(control).or_insert_with(|| seat_key(control))
+        *lock(&self.seat_keys).entry(control).or_insert_with(|| agent_peer_key(control))
     }
 
     /// Changes the published state of the server, and sends notices at once if it differs.
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -24,7 +24,7 @@
 
 use super::{
     agent::{AgentState, lock},
-    facts::{AlwaysOpen, FactNews, FactReader, set_facts},
+    facts::{AlwaysOpen, FactReader, FactUpdate, readable_facts},
     plan_sync,
 };
 use crate::decisions;
@@ -153,7 +153,7 @@
             .await;
     }
     let list = reader.list(freshness).await;
-    let plans = set_facts(FactNews::All(list)).into_iter().filter_map(|fact| match fact {
+    let plans = readable_facts(FactUpdate::All(list)).into_iter().filter_map(|fact| match fact {
         Fact::Plan(plan) => Some(Arc::from(plan)),
         _ => None,
     });
--- a/crates/daemon/src/direct/datagram.rs
+++ b/crates/daemon/src/direct/datagram.rs
@@ -1,4 +1,4 @@
-//! What comes in one datagram: a notice, a relay's bundle, or notes of a transfer.
+//! Contents of a datagram: a notice, a relay's bundle, or notes of a transfer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,62 +15,62 @@
 };
 use crate::agent::notes::{NoteSender, UndeliveredCallback};
 
-/// First byte of a bundle; no message of protobuf begins with it, so that a notice needs no mark.
-const BUNDLE_MARK: u8 = 0x01;
+/// First byte of a bundle. No protobuf message starts with it, so a notice needs no tag.
+const BUNDLE_TAG: u8 = 0x01;
 
 /// First byte of the notes of a transfer.
-const NOTES_MARK: u8 = 0x02;
+const NOTES_TAG: u8 = 0x02;
 
-/// Bytes of an address in a roster: an IPv4 number and a port.
+/// Size of an address in a roster: an IPv4 address and a port.
 const ADDRESS_BYTES: usize = 6;
 
-/// Milliseconds in a step of a member's age.
+/// Resolution of a member's age, in milliseconds.
 const AGE_STEP_MS: u128 = 10;
 
-/// Largest datagram.
-pub const MOST_DATAGRAM: usize = 8 << 10;
+/// Maximum size of a datagram.
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// What came in a datagram.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Datagram {
-    /// A process tells of itself.
+    /// Notice of a process about itself.
     Notice(Box<PeerNotice>),
-    /// A relay tells of others.
+    /// Bundle of a relay about other processes.
     Bundle(PeerBundle),
     /// Notes of a transfer.
     Notes(wire::SwarmNotes),
 }
 
 impl Datagram {
-    /// Reads a datagram; none if the bytes are not one.
+    /// Decodes a datagram; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first()? {
-            (&BUNDLE_MARK, rest) => decode_bundle(rest).map(Self::Bundle),
-            (&NOTES_MARK, rest) => wire::SwarmNotes::decode(rest).ok().map(Self::Notes),
+            (&BUNDLE_TAG, rest) => decode_bundle(rest).map(Self::Bundle),
+            (&NOTES_TAG, rest) => wire::SwarmNotes::decode(rest).ok().map(Self::Notes),
             _ => decode(bytes).map(|notice| Self::Notice(Box::new(notice))),
         }
     }
 
-    /// The bytes of a datagram.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Self::Notice(notice) => encode(notice),
-            Self::Bundle(bundle) => marked(BUNDLE_MARK, &encode_bundle(bundle)),
-            Self::Notes(notes) => marked(NOTES_MARK, notes),
+            Self::Bundle(bundle) => tagged(BUNDLE_TAG, &encode_bundle(bundle)),
+            Self::Notes(notes) => tagged(NOTES_TAG, notes),
         }
     }
 }
 
-fn marked(mark: u8, message: &impl Message) -> Vec<u8> {
-    let mut bytes = vec![mark];
+fn tagged(tag: u8, message: &impl Message) -> Vec<u8> {
+    let mut bytes = vec![tag];
     bytes.extend(message.encode_to_vec());
     bytes
 }
 
 fn encode_roster(roster: &DomainRoster) -> wire::BundleRoster {
-    let short = roster.members.iter().filter(|member| member.address.is_ipv4());
+    let ipv4_members = roster.members.iter().filter(|member| member.address.is_ipv4());
     let (mut addresses, mut ages) = (Vec::new(), Vec::new());
-    for member in short {
+    for member in ipv4_members {
         addresses.extend(address_bytes(&member.address));
         let steps = (member.age.as_millis() / AGE_STEP_MS).min(u128::from(u16::MAX)) as u32;
         ages.push(steps * 2 + u32::from(member.kind == PeerKind::Agent));
@@ -110,13 +110,13 @@
         notices: bundle.notices.iter().map(notice).collect(),
         drains: bundle.drains.iter().map(drain).collect(),
         hears: (!bundle.received_from.is_empty())
-            .then(|| encode_roster(&heard_roster(&bundle.received_from))),
+            .then(|| encode_roster(&received_from_roster(&bundle.received_from))),
     }
 }
 
-/// What a relay hears itself, in the form of a roster.
-fn heard_roster(hears: &[RosterMember]) -> DomainRoster {
-    DomainRoster { domain: DomainKey::default(), members: hears.to_vec() }
+/// Represents the peers that a relay receives directly as a roster.
+fn received_from_roster(members: &[RosterMember]) -> DomainRoster {
+    DomainRoster { domain: DomainKey::default(), members: members.to_vec() }
 }
 
 fn decode_bundle(bytes: &[u8]) -> Option<PeerBundle> {
@@ -142,20 +142,20 @@
         notices: message.notices.into_iter().map(notice).collect::<Option<_>>()?,
         drains: message.drains.iter().map(drain).collect::<Option<_>>()?,
         received_from: match &message.hears {
-            Some(heard) => decode_roster(heard)?.members,
+            Some(roster) => decode_roster(roster)?.members,
             None => Vec::new(),
         },
     })
 }
 
-/// Carries notes of a transfer in datagrams: they are many and small, and one that is lost is made up
-/// for by the next.
+/// Sends notes of a transfer as datagrams: they are many and small, and the next one compensates for
+/// a lost one.
 #[derive(Debug)]
 pub struct DatagramCarrier(pub Arc<UdpSocket>);
 
 impl NoteSender for DatagramCarrier {
     fn send(&self, to: SocketAddr, notes: wire::SwarmNotes, _lost: UndeliveredCallback) {
-        // One that cannot be sent is as good as lost, which the protocol bears.
+        // Send errors are ignored: the protocol tolerates loss.
         let _ = self.0.try_send_to(&Datagram::Notes(notes).encode(), to);
     }
 }
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -30,9 +30,9 @@
     agent::{AgentDependencies, AgentState, lock},
     agent_plan::AgentPlan,
     change::{self, DrainConditions},
-    facts::pause_after,
-    seats,
+    facts::retry_delay,
     transfer::{TransferManager, VersionTransfer},
+    transfer_peers,
 };
 use crate::decisions;
 
@@ -357,7 +357,7 @@
             }
             Err(error) => {
                 self.manifest_failures += 1;
-                self.manifest_retry_at = now + pause_after(self.manifest_failures);
+                self.manifest_retry_at = now + retry_delay(self.manifest_failures);
                 if source == ManifestSource::Origin {
                     self.plan.request_refresh();
                 }
@@ -375,7 +375,7 @@
         let now = self.state.node.now();
         let wanted = self.manifest_requested.filter(|(wanted, _)| *wanted == version);
         let (_, since) = *self.manifest_requested.insert(wanted.unwrap_or((version, now)));
-        let readers = seats::manifest_readers(&self.state, version);
+        let readers = transfer_peers::manifest_readers(&self.state, version);
         manifest_source(&ManifestView {
             rank: readers.rank,
             domain_rank: readers.near_rank,
--- a/crates/daemon/src/direct/transfer.rs
+++ b/crates/daemon/src/direct/transfer.rs
@@ -20,7 +20,7 @@
 
 use super::{
     agent::{AgentDependencies, AgentState},
-    seats,
+    transfer_peers,
     weights::{PieceReader, burst_manifest, encode_manifest, manifest_from_peer, transfer_name},
 };
 use crate::agent::{
@@ -115,7 +115,7 @@
     /// Publishes the current seats to all transfers if they have changed. Complete transfers need
     /// them too, in order to offer their pieces to new agents.
     pub fn publish_seats(&mut self) {
-        let seats = seats::seats(&self.state);
+        let seats = transfer_peers::transfer_peers(&self.state);
         if seats == self.published_seats {
             return;
         }
@@ -181,7 +181,7 @@
             swarm.try_send(DriverInput::Event(SwarmEvent::Superseded));
         });
         let swarm = self.start_swarm(&pieces, &manifest, origin);
-        swarm.try_send(DriverInput::Peers(seats::seats(&self.state)));
+        swarm.try_send(DriverInput::Peers(transfer_peers::transfer_peers(&self.state)));
         self.hub.add(swarm.clone());
         self.retain_recent(manifest.digest());
         let started = self.state.node.now();
@@ -222,7 +222,7 @@
         settings.neighbours = MAX_NEIGHBOURS;
         let name = transfer_name(&pieces.model, pieces.version);
         let encoded = (encode_manifest(pieces), manifest.clone());
-        let own_seat: PeerLocation = seats::own_seat(&self.state);
+        let own_seat: PeerLocation = transfer_peers::own_location(&self.state);
         swarm::start(tools, name, encoded, settings, own_seat)
     }
 
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -11,7 +11,7 @@
 };
 
 use googletest::prelude::*;
-use headlatch_daemon::direct::facts::{AlwaysOpen, FactNews, follow};
+use headlatch_daemon::direct::facts::{AlwaysOpen, FactUpdate, follow};
 use headlatch_outside::{
     OutsideFuture,
     facts::{FactChanges, FactList, FactStore, FactTopic, Freshness, StoreFailure, StoreRevision},
@@ -120,8 +120,8 @@
     let (listed, mut lists) = mpsc::unbounded_channel();
     for _ in 0..readers {
         let (store, listed) = (store.clone(), listed.clone());
-        let take = move |news: FactNews| {
-            if matches!(news, FactNews::All(_)) {
+        let take = move |news: FactUpdate| {
+            if matches!(news, FactUpdate::All(_)) {
                 listed.send(()).expect("the test waits");
             }
         };
@@ -159,7 +159,7 @@
     let store = Arc::new(NarrowStore { cut_from, ..NarrowStore::new(2) });
     let (topic, gate) = (FactTopic::Plan, Arc::new(AlwaysOpen));
     let reading =
-        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactNews| {}));
+        tokio::spawn(follow(store.clone(), topic, Arc::default(), gate, |_: FactUpdate| {}));
     tokio::time::sleep(Duration::from_millis(500 + 2100)).await;
     reading.abort();
     expect_that!(store.calls.load(Ordering::Relaxed), ge(2));
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -1,5 +1,5 @@
-//! Sources that are met with silence: how long an entry keeps an old picture while others know
-//! better. All of it in virtual time.
+//! Unresponsive sources, in virtual time: how long an entry keeps outdated data while other processes
+//! have newer data.
 
 use std::{
     net::SocketAddr,
@@ -13,7 +13,7 @@
 use googletest::prelude::*;
 use headlatch_core::direct::peers::{DomainKey, PeerKind, PeerNotice};
 use headlatch_daemon::direct::{
-    facts::{AlwaysOpen, FactNews, ReadGate, ReaderDuty, follow},
+    facts::{AlwaysOpen, FactUpdate, ReadGate, ReaderRole, follow},
     state::EntryState,
 };
 use headlatch_outside::{
@@ -30,11 +30,11 @@
 use http::{HeaderMap, StatusCode};
 use tokio::{sync::Notify, time::Instant};
 
-/// Time after which the platform's client gives a silent call up at the latest.
-const CLIENT_TIME: Duration = Duration::from_secs(3);
+/// Maximum time until the platform's client times out a call without a response.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A store that meets every call with silence until a moment, and answers those that come later.
-/// What it met with silence it never answers.
+/// A store that does not respond to calls made before `answers_from`, not even later, and responds to
+/// those made afterwards.
 #[derive(Debug)]
 struct SilentStore {
     answers_from: Instant,
@@ -52,7 +52,7 @@
             if answers {
                 return Ok(FactList { facts: Vec::new(), at: StoreRevision(1) });
             }
-            tokio::time::sleep(CLIENT_TIME).await;
+            tokio::time::sleep(CLIENT_TIMEOUT).await;
             Err(StoreFailure::Unreachable("no answer in time".to_owned()))
         })
     }
@@ -68,27 +68,27 @@
     }
 }
 
-/// Time between the store's return and the first list, for a follower that has called in vain for
-/// `silence`.
+/// Time from the store's recovery to the first successful list, for a reader whose calls went
+/// unanswered for `silence`.
 async fn time_to_list(silence: Duration) -> Duration {
     let store = Arc::new(SilentStore { answers_from: Instant::now() + silence });
     let returned = store.answers_from;
     let listed = Arc::new(Notify::new());
-    let heard = listed.clone();
+    let notify = listed.clone();
     let following = tokio::spawn(follow(
         store,
         FactTopic::Plan,
         Arc::default(),
         Arc::new(AlwaysOpen),
-        move |_: FactNews| heard.notify_one(),
+        move |_: FactUpdate| notify.notify_one(),
     ));
     listed.notified().await;
     following.abort();
     returned.elapsed()
 }
 
-/// A process is in touch three seconds after the store's return, and a change that was accepted
-/// in between is then due: the store must have been read well before.
+/// A process must be up to date 3 s after the store recovers, including changes accepted in between, so
+/// the store must be read well before.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_store_that_was_silent_is_read_soon_after_its_return() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Headers of no outside: these tests send no requests.
+/// Header format that reads and writes nothing: these tests send no requests.
 #[derive(Debug)]
 struct NoHeaders;
 
@@ -138,8 +138,8 @@
     TrafficPlan { version: PlanVersion(version), ..TrafficPlan::default() }
 }
 
-/// Lets an entry of another failure domain say that it has `version`.
-fn tell(state: &EntryState, version: u64) {
+/// Delivers a notice of an entry of another failure domain that has plan `version`.
+fn receive_plan_version(state: &EntryState, version: u64) {
     static SEQUENCE: AtomicU64 = AtomicU64::new(1);
     let from: SocketAddr = "10.1.0.1:7700".parse().expect("an address");
     let domain: DomainId = "z2".parse().expect("a name");
@@ -152,16 +152,16 @@
     state.record_peer_plan_version(PlanVersion(version));
 }
 
-/// An entry reads the store and its watch says nothing, while another failure domain tells ten
-/// times a second that there is a newer plan: from half a second on it may ask for it there at
-/// any moment, however often that has failed.
+/// An entry reads the store, but its watch returns nothing, while another failure domain advertises a
+/// newer plan ten times a second. After 500 ms the entry must be able to fetch it there at any time,
+/// regardless of the number of failures.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_stays_behind_goes_on_asking() {
     let state = entry();
     state.apply_plan(plan(5), "store");
     for tick in 0..40 {
-        tell(&state, 6);
+        receive_plan_version(&state, 6);
         let due = tick >= 5;
         let asks = state.newer_plan_holder().is_some();
         expect_that!(asks || !due, eq(true), "{} ms behind", tick * 100);
@@ -169,7 +169,7 @@
     }
 }
 
-/// A request that the plan in force does not allow waits for the newer one, but not for ever.
+/// A request that the active plan does not allow waits for a newer plan, but only for a limited time.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_newer_plan_is_waited_for_until_it_is_here_or_the_time_is_over() {
@@ -179,10 +179,10 @@
     let wait = Duration::from_millis(300);
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(false));
     expect_that!(begun.elapsed(), eq(wait));
-    let taker = state.clone();
+    let updater = state.clone();
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        taker.apply_plan(plan(6), "peer");
+        updater.apply_plan(plan(6), "peer");
     });
     let begun = Instant::now();
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(true));
@@ -190,9 +190,9 @@
     expect_that!(state.plan.newer_than(PlanVersion(5), wait).await, eq(true));
 }
 
-/// Lets an entry of the own failure domain, the first one by address, say whether the store answers
-/// it.
-fn tell_near(state: &EntryState, sequence: u64, reads_store: bool) {
+/// Delivers a notice of the entry of the own failure domain that is first by address, stating whether
+/// the store responds to it.
+fn receive_near_notice(state: &EntryState, sequence: u64, reads_store: bool) {
     let from: SocketAddr = "10.0.0.0:7700".parse().expect("an address");
     let domain: DomainId = "z1".parse().expect("a name");
     let notice = PeerNotice {
@@ -203,21 +203,20 @@
     state.peers().receive(state.now(), notice);
 }
 
-/// One entry of a failure domain watches the store closely: the first by address whose calls are
-/// answered.
+/// The active reader of a failure domain is the first entry by address to which the store responds.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn the_duty_to_watch_passes_on_when_the_first_entry_loses_the_store() {
+async fn the_active_role_passes_on_when_the_first_entry_loses_the_store() {
     let state = entry();
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
-    tell_near(&state, 1, true);
-    expect_that!(state.duty(), eq(ReaderDuty::StandsBy));
-    tell_near(&state, 2, false);
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
-    tell_near(&state, 3, true);
-    expect_that!(state.duty(), eq(ReaderDuty::StandsBy));
-    // The first entry has fallen silent.
+    expect_that!(state.role(), eq(ReaderRole::Active));
+    receive_near_notice(&state, 1, true);
+    expect_that!(state.role(), eq(ReaderRole::Standby));
+    receive_near_notice(&state, 2, false);
+    expect_that!(state.role(), eq(ReaderRole::Active));
+    receive_near_notice(&state, 3, true);
+    expect_that!(state.role(), eq(ReaderRole::Standby));
+    // The first entry has stopped sending notices.
     tokio::time::sleep(Duration::from_secs(6)).await;
     state.refresh_loads();
-    expect_that!(state.duty(), eq(ReaderDuty::Watches));
+    expect_that!(state.role(), eq(ReaderRole::Active));
 }
