--- a/crates/core/src/direct/engine_model.rs
+++ b/crates/core/src/direct/engine_model.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use headlatch_types::traffic::EngineFigures;
+use headlatch_types::traffic::EngineCapacity;
 
 /// Slowdown of prefill while other requests decode in between, relative to prefill alone.
 const PREFILL_SLOWDOWN: f64 = 1.5;
@@ -51,12 +51,12 @@
 
 impl EngineWork {
     /// Work of a request with `prompt` tokens, or with a usual prompt if that is `None`.
-    pub fn new(figures: &EngineFigures, prompt: Option<u64>, objective: Duration) -> Self {
+    pub fn new(figures: &EngineCapacity, prompt: Option<u64>, objective: Duration) -> Self {
         Self { prompt: prompt.unwrap_or(usual_prompt(figures)), objective }
     }
 }
 
-fn usual_prompt(figures: &EngineFigures) -> u64 {
+fn usual_prompt(figures: &EngineCapacity) -> u64 {
     match figures.usual_prompt {
         0 => DEFAULT_PROMPT_TOKENS,
         tokens => tokens,
@@ -64,7 +64,7 @@
 }
 
 /// Seconds that an engine needs to prefill `tokens` while other requests decode.
-fn prefill_time(figures: &EngineFigures, tokens: u64) -> f64 {
+fn prefill_time(figures: &EngineCapacity, tokens: u64) -> f64 {
     match figures.read_per_second > 0.0 {
         true => tokens as f64 / figures.read_per_second * PREFILL_SLOWDOWN,
         false => 0.0,
@@ -72,13 +72,13 @@
 }
 
 /// Time that an engine needs to prefill a usual prompt while other requests decode.
-pub fn usual_prefill_time(figures: &EngineFigures) -> Duration {
+pub fn usual_prefill_time(figures: &EngineCapacity) -> Duration {
     Duration::from_secs_f64(prefill_time(figures, usual_prompt(figures)))
 }
 
 /// Time until an engine with `load` returns the first token of `work`.
 pub fn time_to_first_token(
-    figures: &EngineFigures,
+    figures: &EngineCapacity,
     load: EngineLoad,
     work: EngineWork,
 ) -> Duration {
@@ -91,12 +91,12 @@
 
 /// Time until an engine has returned an answer of up to `tokens`, or of usual length if that is
 /// `None`. `first` is the predicted time to the first token.
-pub fn completion_time(figures: &EngineFigures, first: Duration, tokens: Option<u64>) -> Duration {
+pub fn completion_time(figures: &EngineCapacity, first: Duration, tokens: Option<u64>) -> Duration {
     let tokens = tokens.unwrap_or(usual_answer(figures));
     first + Duration::from_secs_f64(tokens as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3)
 }
 
-fn usual_answer(figures: &EngineFigures) -> u64 {
+fn usual_answer(figures: &EngineCapacity) -> u64 {
     match figures.usual_answer {
         0 => DEFAULT_ANSWER_TOKENS,
         tokens => tokens,
@@ -104,7 +104,7 @@
 }
 
 /// Seconds until one slot of a full engine becomes free.
-fn slot_time(figures: &EngineFigures) -> f64 {
+fn slot_time(figures: &EngineCapacity) -> f64 {
     let running = usual_answer(figures) as f64 * figures.step_ms * DECODE_SLOWDOWN / 1e3;
     running / f64::from(figures.slots.max(1))
 }
--- a/crates/core/src/direct/server_table.rs
+++ b/crates/core/src/direct/server_table.rs
@@ -138,7 +138,7 @@
 
 /// Returns the key of a server process, a hash of the server ID and start time.
 fn life_key(record: &ServerRecord) -> LifeKey {
-    let born = record.born.map(|born| born.0.to_le_bytes()).unwrap_or_default();
+    let born = record.started_at.map(|born| born.0.to_le_bytes()).unwrap_or_default();
     LifeKey(born.into_iter().fold(server_key(&record.id), hash_byte))
 }
 
--- a/crates/core/src/direct/server_table/choice.rs
+++ b/crates/core/src/direct/server_table/choice.rs
@@ -5,7 +5,7 @@
 use headlatch_types::{
     id::DomainId,
     quantity::RequestRate,
-    traffic::{AllowedRegions, EngineFigures, ServerId, WeightVersion},
+    traffic::{AllowedRegions, EngineCapacity, ServerId, WeightVersion},
 };
 
 use super::{
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EngineQuery<'a> {
     /// Performance figures of the engine.
-    pub figures: &'a EngineFigures,
+    pub figures: &'a EngineCapacity,
     /// Prompt size and latency objective.
     pub work: EngineWork,
     /// Whether the request continues a stream that a caller is reading, so that a late answer beats none.
--- a/crates/core/src/direct/shedding.rs
+++ b/crates/core/src/direct/shedding.rs
@@ -14,7 +14,7 @@
 
 use headlatch_types::{
     request::RequestDigest,
-    traffic::{AllowedRegions, EngineFigures},
+    traffic::{AllowedRegions, EngineCapacity},
 };
 
 use super::engine_model::{EngineLoad, EngineWork, time_to_first_token, usual_prefill_time};
@@ -98,7 +98,7 @@
     /// Regions whose engines may run it.
     pub regions: &'a AllowedRegions,
     /// Performance figures of the engines.
-    pub figures: &'a EngineFigures,
+    pub figures: &'a EngineCapacity,
     /// Time in which its first token is wanted; zero if not specified.
     pub objective: Duration,
     /// Its rank in the order of rejection.
@@ -171,18 +171,18 @@
 
 /// Whether an engine would start a request at once, in which case the smoothed share is out of
 /// date.
-fn is_half_idle(figures: &EngineFigures, load: EngineLoad) -> bool {
+fn is_half_idle(figures: &EngineCapacity, load: EngineLoad) -> bool {
     load.waiting_tokens == 0 && load.in_flight * 2 < figures.slots.max(1)
 }
 
 /// Time until an engine with `load` starts the prefill of a new prompt, plus its first pass.
-fn queue_wait(figures: &EngineFigures, load: EngineLoad) -> Duration {
+fn queue_wait(figures: &EngineCapacity, load: EngineLoad) -> Duration {
     time_to_first_token(figures, load, EngineWork { prompt: 0, objective: Duration::ZERO })
 }
 
 /// Share of new requests to reject, from 0 to 1, given the wait at an engine with `load`.
 /// `objective` is the shortest relevant objective; if it is zero, nothing is rejected.
-fn target_share(figures: &EngineFigures, load: EngineLoad, objective: Duration) -> f64 {
+fn target_share(figures: &EngineCapacity, load: EngineLoad, objective: Duration) -> f64 {
     let idle = queue_wait(figures, EngineLoad::default()).as_secs_f64();
     let queue_wait = queue_wait(figures, load).as_secs_f64();
     // Requests that would not wait are admitted: an objective may be shorter than any prefill.
--- a/crates/core/src/direct/staging.rs
+++ b/crates/core/src/direct/staging.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use headlatch_outside::engine::{OrderAnswer, OrderSequence, StageReport};
-use headlatch_types::traffic::{BirthTime, WeightVersion};
+use headlatch_types::traffic::{StartTime, WeightVersion};
 
 use super::weight_deadline::dispatch_time;
 use crate::time::Moment;
@@ -51,7 +51,7 @@
 /// Identity of the server process behind the last report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineLife {
-    last: Option<(Option<BirthTime>, OrderSequence)>,
+    last: Option<(Option<StartTime>, OrderSequence)>,
 }
 
 impl EngineLife {
@@ -59,8 +59,8 @@
     /// server does not report its start time, a restart is recognised by its order count, which
     /// then starts anew.
     pub fn has_restarted(&mut self, report: &StageReport) -> bool {
-        let last = self.last.replace((report.born, report.sequence));
-        last.is_some_and(|(born, sequence)| born != report.born || report.sequence < sequence)
+        let last = self.last.replace((report.started_at, report.sequence));
+        last.is_some_and(|(born, sequence)| born != report.started_at || report.sequence < sequence)
     }
 }
 
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -20,7 +20,7 @@
     time::Moment,
 };
 use headlatch_types::traffic::{
-    AllowedRegions, EngineFigures, PlanVersion, Route, RouteKind, RouteTarget, ServerId,
+    AllowedRegions, EngineCapacity, PlanVersion, Route, RouteKind, RouteTarget, ServerId,
     ServerRecord, Tenant, TrafficPlan, WeightVersion,
 };
 
@@ -194,8 +194,8 @@
     expect_that!(left(&weights, 5000, 2), none());
 }
 
-fn figures() -> EngineFigures {
-    EngineFigures {
+fn figures() -> EngineCapacity {
+    EngineCapacity {
         slots: 16,
         step_ms: 9.0,
         stride: 5,
@@ -203,7 +203,7 @@
         layers: 16,
         usual_prompt: 1000,
         usual_answer: 100,
-        ..EngineFigures::default()
+        ..EngineCapacity::default()
     }
 }
 
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -11,7 +11,7 @@
     },
     time::Moment,
 };
-use headlatch_types::traffic::{AllowedRegions, BirthTime, ServerId, ServerRecord};
+use headlatch_types::traffic::{AllowedRegions, ServerId, ServerRecord, StartTime};
 
 fn at(millis: u64) -> Moment {
     Moment::ZERO + Duration::from_millis(millis)
@@ -105,7 +105,7 @@
 fn drain_announcement_holds_for_lifetime_of_process() {
     let record = |born, draining| ServerRecord {
         id: ServerId("i1".into()),
-        born: Some(BirthTime(born)),
+        started_at: Some(StartTime(born)),
         service: "s".into(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z1".parse().expect("a name"),
--- a/crates/core/tests/load_notices.rs
+++ b/crates/core/tests/load_notices.rs
@@ -18,7 +18,7 @@
     time::Moment,
 };
 use headlatch_types::traffic::{
-    AllowedRegions, EngineFigures, HeldLayers, HeldModel, ServerId, ServerRecord, WeightVersion,
+    AllowedRegions, EngineCapacity, HeldLayers, HeldModel, ServerId, ServerRecord, WeightVersion,
 };
 
 const NEAR: DomainKey = DomainKey(1);
@@ -147,7 +147,7 @@
     let version = WeightVersion(1);
     ServerRecord {
         id: ServerId(id.into()),
-        born: None,
+        started_at: None,
         service: "llm".into(),
         address: address(100 + id.len() as u8),
         zone: zone.parse().expect("a name"),
@@ -162,8 +162,8 @@
     }
 }
 
-fn figures() -> EngineFigures {
-    EngineFigures {
+fn figures() -> EngineCapacity {
+    EngineCapacity {
         slots: 10,
         memory_tokens: 100_000,
         step_ms: 5.0,
@@ -177,7 +177,7 @@
     }
 }
 
-fn choose(table: &ServerTable, figures: &EngineFigures, draw: u64) -> String {
+fn choose(table: &ServerTable, figures: &EngineCapacity, draw: u64) -> String {
     let work = EngineWork::new(figures, Some(100), Duration::from_millis(400));
     let query = ServerQuery {
         service: "llm",
--- a/crates/core/tests/rate_limits.rs
+++ b/crates/core/tests/rate_limits.rs
@@ -39,7 +39,7 @@
 fn record(number: usize, zone: DomainId) -> ServerRecord {
     ServerRecord {
         id: ServerId(format!("i{number}").into()),
-        born: None,
+        started_at: None,
         service: "s".into(),
         address: address(number),
         zone,
--- a/crates/core/tests/server_copy.rs
+++ b/crates/core/tests/server_copy.rs
@@ -10,7 +10,7 @@
 fn record(id: &str, draining: bool) -> ServerRecord {
     ServerRecord {
         id: ServerId(id.into()),
-        born: None,
+        started_at: None,
         service: "s".into(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z1".parse().expect("a name"),
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -14,12 +14,12 @@
     },
     time::Moment,
 };
-use headlatch_types::traffic::{AllowedRegions, BirthTime, ServerId, ServerRecord, WeightVersion};
+use headlatch_types::traffic::{AllowedRegions, ServerId, ServerRecord, StartTime, WeightVersion};
 
 fn record(born: u64) -> ServerRecord {
     ServerRecord {
         id: ServerId("i1".into()),
-        born: Some(BirthTime(born)),
+        started_at: Some(StartTime(born)),
         service: "s".into(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z1".parse().expect("a name"),
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -227,7 +227,7 @@
         for _ in 0..20 {
             for index in 0..self.boxes.len() {
                 let views = self.views(index, &placement, target.key);
-                let min_serving = model.kept_in(&self.boxes[index].domain.parse().unwrap());
+                let min_serving = model.min_serving(&self.boxes[index].domain.parse().unwrap());
                 let rank = placement[&self.boxes[index].id].rank;
                 let in_turn = may_switch(rank, 1 + views.len() as u32, min_serving, &views);
                 self.advance_box(index, &target, in_turn);
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -35,7 +35,8 @@
     id::DomainId,
     request::RequestDigest,
     traffic::{
-        AllowedRegions, EngineFigures, HeldLayers, HeldModel, ServerId, ServerRecord, WeightVersion,
+        AllowedRegions, EngineCapacity, HeldLayers, HeldModel, ServerId, ServerRecord,
+        WeightVersion,
     },
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -158,7 +159,7 @@
 
 /// Engines, entries and callers in virtual time.
 struct Simulation {
-    figures: EngineFigures,
+    figures: EngineCapacity,
     engines: Vec<Engine>,
     tables: Vec<ServerTable>,
     /// The load shedder of each entry.
@@ -180,7 +181,7 @@
     let held = HeldModel { model, version: WeightVersion(1), layers };
     ServerRecord {
         id: server_id(index),
-        born: None,
+        started_at: None,
         service: "llm".into(),
         address: format!("127.0.0.1:{}", 1000 + index).parse().expect("an address"),
         zone: "z".parse().expect("a name"),
@@ -197,7 +198,7 @@
 
 /// Maximum number of requests per second that the engines can serve: each takes its prefill time
 /// and a sixteenth of its decode time.
-fn capacity(figures: &EngineFigures, engines: usize) -> f64 {
+fn capacity(figures: &EngineCapacity, engines: usize) -> f64 {
     let mean = |of: fn(&RequestKind) -> f64| KINDS.iter().map(|kind| kind.part * of(kind)).sum();
     let prompt: f64 = mean(|kind| kind.mean_prompt);
     let answer: f64 = mean(|kind| kind.mean_answer);
--- a/crates/core/tests/support/entry.rs
+++ b/crates/core/tests/support/entry.rs
@@ -40,7 +40,7 @@
     let held = HeldModel { model: model(), version: WeightVersion(version), layers };
     ServerRecord {
         id: ServerId(name.into()),
-        born: None,
+        started_at: None,
         service: "llm".into(),
         address: format!("127.0.0.1:{}", 1000 + server_key(&ServerId(name.into())) % 60_000)
             .parse()
--- a/crates/core/tests/support/figures.rs
+++ b/crates/core/tests/support/figures.rs
@@ -1,10 +1,10 @@
 //! Engine figures for load tests.
 
-use headlatch_types::traffic::EngineFigures;
+use headlatch_types::traffic::EngineCapacity;
 
 /// An engine with sixteen slots.
-pub fn figures() -> EngineFigures {
-    EngineFigures {
+pub fn figures() -> EngineCapacity {
+    EngineCapacity {
         slots: 16,
         step_ms: 9.64,
         stride: 5,
@@ -12,6 +12,6 @@
         layers: 16,
         usual_prompt: 895,
         usual_answer: 92,
-        ..EngineFigures::default()
+        ..EngineCapacity::default()
     }
 }
--- a/crates/daemon/src/agent/fetch.rs
+++ b/crates/daemon/src/agent/fetch.rs
@@ -8,7 +8,7 @@
 use headlatch_outside::OutsideFuture;
 use headlatch_types::{
     ChunkIndex, Digest, Manifest,
-    manifest::{ChunkPlace, MANIFEST_FILE, MAX_MANIFEST_BYTES},
+    manifest::{ChunkLocation, MANIFEST_FILE, MAX_MANIFEST_BYTES},
     settings::ServiceUrl,
 };
 use headlatch_wire::{FetchChunkRequest, FetchManifestRequest, FetchStep, fetch_step::Step};
@@ -66,7 +66,7 @@
         &self,
         source: &OutsideSource,
         manifest: &Manifest,
-        place: &ChunkPlace,
+        place: &ChunkLocation,
     ) -> Result<Bytes, FetchFailure> {
         let file = manifest.files().get(place.file).ok_or(FetchFailure::Absent)?;
         let last = place.offset + place.length - 1;
--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -392,7 +392,7 @@
             })
             .collect();
         let replicas = 1 + others.len() as u32;
-        may_switch(own.rank, replicas, model.kept_in(domain).min(replicas - 1), &others)
+        may_switch(own.rank, replicas, model.min_serving(domain).min(replicas - 1), &others)
     }
 
     /// Lets others know at once what serves here.
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -14,7 +14,7 @@
 use headlatch_outside::facts::{Fact, FactStore, FactTopic, Freshness};
 use headlatch_types::{
     id::ModelName,
-    traffic::{EngineFigures, OriginPlan, PlanVersion, TrafficPlan},
+    traffic::{EngineCapacity, OriginPlan, PlanVersion, TrafficPlan},
 };
 use rand::seq::IndexedRandom;
 use serde_json::json;
@@ -65,7 +65,7 @@
     }
 
     /// The figures of the engine of `service`, or of the only one that has any.
-    pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineFigures> {
+    pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineCapacity> {
         let plan = self.lock().clone()?;
         let named = service.and_then(|service| plan.services.get(service));
         let named = named.and_then(|service| service.engine.as_ref());
@@ -79,9 +79,9 @@
     }
 
     /// Whether all streams of `service` can be continued elsewhere.
-    pub(super) fn may_cut(&self, service: Option<&str>) -> bool {
+    pub(super) fn may_interrupt(&self, service: Option<&str>) -> bool {
         let plan = self.lock().clone();
-        plan.zip(service).is_some_and(|(plan, service)| plan.may_cut(service))
+        plan.zip(service).is_some_and(|(plan, service)| plan.may_interrupt(service))
     }
 
     /// The origin failed; it may have moved, so that the plan is to be read again.
--- a/crates/daemon/src/direct/attempt.rs
+++ b/crates/daemon/src/direct/attempt.rs
@@ -14,8 +14,8 @@
     server_table::{ChosenServer, ServerOutcome},
     time_limit::{LimitedTime, TimeLimit},
 };
-use headlatch_http::{ConnectionChoice, HeldConnection};
-use headlatch_outside::headers::{AnswerFacts, SendFacts};
+use headlatch_http::{ActiveConnection, ConnectionChoice};
+use headlatch_outside::headers::{ForwardMetadata, ResponseMetadata};
 use headlatch_types::{RunVerdict, traffic::WeightVersion};
 use http::{HeaderMap, Response, StatusCode, header};
 use hyper::body::Incoming;
@@ -108,7 +108,7 @@
     /// Response head, with the body still to be read.
     pub response: Response<Incoming>,
     /// Connection of the response, closed on drop.
-    pub connection: HeldConnection,
+    pub connection: ActiveConnection,
     /// In-flight count of the request.
     pub in_flight: InFlight,
     /// Time limit sent to the server, counted from when the request was sent.
@@ -162,7 +162,7 @@
 fn outgoing_headers(
     state: &EntryState,
     request: &AdmittedRequest,
-    facts: &SendFacts,
+    facts: &ForwardMetadata,
     body: &Bytes,
 ) -> HeaderMap {
     let mut headers = request.headers.clone();
@@ -206,18 +206,18 @@
     server: &ChosenServer,
     last_event: Option<u64>,
     mut choice: ConnectionChoice,
-) -> Result<(Response<Incoming>, HeldConnection, LimitedTime), AttemptFailure> {
+) -> Result<(Response<Incoming>, ActiveConnection, LimitedTime), AttemptFailure> {
     loop {
         let begun = Instant::now();
         let (mut connection, fresh) = connect(state, server, choice, request.deadline).await?;
         // The server's state may have changed while the connection was being opened.
         let checked = state.servers().check_eligibility(state.now(), server);
         if let Err(ineligible) = checked {
-            state.connections.put_back(connection);
+            state.connections.release(connection);
             return Err(AttemptFailure::not_sent(ineligible.as_str()));
         }
         let time_limit = server_time_limit(state, request, server);
-        let facts = SendFacts {
+        let facts = ForwardMetadata {
             deadline: Some(time_limit.time),
             server: Some(server.id.clone()),
             tenant: request.tenant.clone(),
@@ -235,7 +235,7 @@
         let response = match sent {
             Err(_) => {
                 if !fresh {
-                    state.connections.forget_unheard(server.address, begun);
+                    state.connections.close_stale(server.address, begun);
                 }
                 return Err(AttemptFailure::no_answer());
             }
@@ -299,7 +299,7 @@
     server: &ChosenServer,
     choice: ConnectionChoice,
     until: Instant,
-) -> Result<(HeldConnection, bool), AttemptFailure> {
+) -> Result<(ActiveConnection, bool), AttemptFailure> {
     let time = until.saturating_duration_since(Instant::now()).min(CONNECT_TIMEOUT);
     let connected = state.connections.get(server.address, choice, time).await;
     connected.map_err(|error| AttemptFailure {
@@ -314,10 +314,10 @@
 /// Separates a response to this request from refusals and from responses to other requests.
 fn check_answer(
     request: &AdmittedRequest,
-    facts: AnswerFacts,
+    facts: ResponseMetadata,
     response: Response<Incoming>,
-    connection: HeldConnection,
-) -> Result<(Response<Incoming>, HeldConnection), AttemptFailure> {
+    connection: ActiveConnection,
+) -> Result<(Response<Incoming>, ActiveConnection), AttemptFailure> {
     if facts.id.as_ref().is_some_and(|id| *id != request.id) {
         let detail = format!("the response has request id {}", facts.id.unwrap_or_default());
         return Err(AttemptFailure::lost("answer_of_another", detail));
--- a/crates/daemon/src/direct/entry.rs
+++ b/crates/daemon/src/direct/entry.rs
@@ -10,7 +10,7 @@
 use headlatch_http::StopHandle;
 use headlatch_outside::{
     facts::{FactStore, FactTopic},
-    headers::HeaderForm,
+    headers::HeaderFormat,
     quarantine::QuarantineStore,
 };
 use headlatch_types::direct_settings::DirectEntrySettings;
@@ -55,7 +55,7 @@
     pub async fn start_with_quarantines(
         settings: DirectEntrySettings,
         store: Arc<dyn FactStore>,
-        headers: Arc<dyn HeaderForm>,
+        headers: Arc<dyn HeaderFormat>,
         quarantines: Arc<dyn QuarantineStore>,
     ) -> Result<Self, Report<DaemonError>> {
         let mut entry = Self::start(settings, store, headers).await?;
@@ -70,7 +70,7 @@
     pub async fn start(
         settings: DirectEntrySettings,
         store: Arc<dyn FactStore>,
-        headers: Arc<dyn HeaderForm>,
+        headers: Arc<dyn HeaderFormat>,
     ) -> Result<Self, Report<DaemonError>> {
         Self::start_on(EntryState::new(settings, headers), store).await
     }
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -368,7 +368,7 @@
                 return (sent, None);
             }
             if let Ok(next) = self.pick_server() {
-                self.state.connections.forget_unheard(address, sent_at);
+                self.state.connections.close_stale(address, sent_at);
                 return (Err(AttemptFailure::no_answer()), Some(next));
             }
             until += timeout;
--- a/crates/daemon/src/direct/exchange/collect.rs
+++ b/crates/daemon/src/direct/exchange/collect.rs
@@ -57,7 +57,7 @@
         };
         let failed = is_failure(parts.status);
         in_flight.end(if failed { ServerOutcome::Failed } else { ServerOutcome::Answered });
-        self.state.connections.put_back(connection);
+        self.state.connections.release(connection);
         strip_hop_by_hop_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let fields = json!({ "server": self.tried.last(), "status": parts.status.as_u16() });
--- a/crates/daemon/src/direct/handler.rs
+++ b/crates/daemon/src/direct/handler.rs
@@ -13,10 +13,10 @@
     size_class::SizeClass,
     time_limit::{LimitedTime, TimeLimit},
 };
-use headlatch_outside::headers::RequestFacts;
+use headlatch_outside::headers::RequestMetadata;
 use headlatch_types::{
     quantity::ByteSize,
-    traffic::{EngineFigures, Route, RouteKind},
+    traffic::{EngineCapacity, Route, RouteKind},
 };
 use http::{
     HeaderMap, HeaderValue, Method, Request, Response, StatusCode, Uri, header, request::Parts,
@@ -70,7 +70,7 @@
     /// Tenant that the key belongs to.
     pub tenant: Option<String>,
     /// Performance figures of the engine; `None` for services without engines.
-    pub engine: Option<EngineFigures>,
+    pub engine: Option<EngineCapacity>,
     /// When the request arrived.
     pub arrived: Instant,
     /// When the request times out, not counting later suspensions of the machine.
@@ -82,7 +82,7 @@
     /// Version of the plan that admitted the request.
     pub plan: u64,
     /// Values read from the request headers.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// Digests that identify the same content in other requests.
     pub digests: RequestDigests,
     /// Size class of the body among recent requests of the route.
@@ -149,7 +149,7 @@
 async fn admit(
     state: &Arc<EntryState>,
     request: Request<Incoming>,
-    facts: RequestFacts,
+    facts: RequestMetadata,
 ) -> Result<AdmittedRequest, ErrorResponse> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
--- a/crates/daemon/src/direct/plan_sync.rs
+++ b/crates/daemon/src/direct/plan_sync.rs
@@ -78,7 +78,7 @@
     path: &str,
 ) -> Result<TrafficPlan, String> {
     // A connection that has rested may have been cut off meanwhile without a word.
-    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE);
+    let request = CallRequest::get(path).closing().with_idle_timeout(FETCH_SILENCE);
     let call = connections.call(address, request, MOST_PLAN, FETCH_TIME);
     let answer = call.await.map_err(|error| format!("{address}: {}", error.message))?;
     if answer.status != StatusCode::OK {
--- a/crates/daemon/src/direct/quarantine_keeper.rs
+++ b/crates/daemon/src/direct/quarantine_keeper.rs
@@ -5,7 +5,7 @@
 use headlatch_core::direct::request_digest::RequestDigest;
 use headlatch_outside::{
     facts::StoreFailure,
-    quarantine::{KeptQuarantine, QuarantineStore, UnixMillis},
+    quarantine::{QuarantineEntry, QuarantineStore, UnixMillis},
 };
 use serde_json::json;
 
@@ -38,14 +38,14 @@
         tokio::time::sleep(GATE_POLL_INTERVAL).await;
     }
     let kept = loop {
-        match store.list_kept().await {
+        match store.list_quarantines().await {
             Ok(kept) => break kept,
             Err(failure) => log_failure("list", None, &failure),
         }
         tokio::time::sleep(RETRY_DELAY).await;
     };
     decisions::note("quarantine", "read", json!({ "kept": kept.len() }));
-    for KeptQuarantine { digest, until } in kept {
+    for QuarantineEntry { digest, until } in kept {
         let left = until.0.saturating_sub(unix_millis());
         match left {
             0 => write(store, QuarantineWrite::Lift(digest)).await,
@@ -67,7 +67,7 @@
         let (digest, written) = match pending {
             QuarantineWrite::Keep(digest, left) => {
                 let until = UnixMillis(unix_millis() + left.as_millis() as u64);
-                (digest, store.keep(KeptQuarantine { digest, until }).await)
+                (digest, store.keep(QuarantineEntry { digest, until }).await)
             }
             QuarantineWrite::Lift(digest) => (digest, store.lift(digest).await),
         };
--- a/crates/daemon/src/direct/relay.rs
+++ b/crates/daemon/src/direct/relay.rs
@@ -18,7 +18,7 @@
     },
     time::Moment,
 };
-use headlatch_http::HeldConnection;
+use headlatch_http::ActiveConnection;
 use http::{Response, StatusCode, header};
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
@@ -55,7 +55,7 @@
 /// A server that a stream is read from.
 struct StreamSource {
     body: Incoming,
-    connection: HeldConnection,
+    connection: ActiveConnection,
     in_flight: InFlight,
     splitter: EventSplitter,
     /// Time limit sent to the server.
@@ -148,7 +148,7 @@
                 NextData::End(StreamEnd::Whole) => {
                     source.in_flight.end(ServerOutcome::Answered);
                     relay.finish(&source);
-                    relay.exchange.state.connections.put_back(source.connection);
+                    relay.exchange.state.connections.release(source.connection);
                     return;
                 }
                 NextData::End(end) => {
--- a/crates/daemon/src/direct/server_end.rs
+++ b/crates/daemon/src/direct/server_end.rs
@@ -21,7 +21,7 @@
         state.connections.get(server.address, ConnectionChoice::Fresh, PROBE_TIMEOUT).await;
     match opened {
         Ok((connection, _)) => {
-            state.connections.put_back(connection);
+            state.connections.release(connection);
             false
         }
         Err(error) => error.refused,
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -181,7 +181,7 @@
             return;
         }
         let order = self.order.take().map(|order| order.version);
-        let fields = json!({ "born": report.born, "ordered": order });
+        let fields = json!({ "born": report.started_at, "ordered": order });
         decisions::note("engine", "restarted", fields);
         for work in self.work.iter_mut().chain(&mut self.next_work) {
             work.stage.checked = None;
@@ -531,7 +531,7 @@
     /// Requests are cut at a change only where all of them can be continued elsewhere: to wait for
     /// them takes seconds in which the server takes nothing new.
     fn running_requests(&self) -> RunningRequests {
-        match self.plan.may_cut(self.service()) {
+        match self.plan.may_interrupt(self.service()) {
             true => RunningRequests::Cut,
             false => RunningRequests::Finish,
         }
--- a/crates/daemon/src/direct/state.rs
+++ b/crates/daemon/src/direct/state.rs
@@ -27,7 +27,7 @@
     time::Moment,
 };
 use headlatch_http::Connections;
-use headlatch_outside::{facts::Fact, headers::HeaderForm};
+use headlatch_outside::{facts::Fact, headers::HeaderFormat};
 use headlatch_types::{
     direct_settings::{DirectEntrySettings, RawRetry},
     id::ModelName,
@@ -60,7 +60,7 @@
     /// Settings of the entry.
     pub settings: DirectEntrySettings,
     /// The platform's header format.
-    pub headers: Arc<dyn HeaderForm>,
+    pub headers: Arc<dyn HeaderFormat>,
     /// Pooled connections to servers.
     pub connections: Connections,
     /// Metrics of the entry.
@@ -136,14 +136,14 @@
 
 impl EntryState {
     /// State of an entry that has just started.
-    pub fn new(settings: DirectEntrySettings, headers: Arc<dyn HeaderForm>) -> Arc<Self> {
+    pub fn new(settings: DirectEntrySettings, headers: Arc<dyn HeaderFormat>) -> Arc<Self> {
         Self::with_clock(settings, headers, NodeClock::default())
     }
 
     /// Same as `new`, with the given clock.
     pub fn with_clock(
         settings: DirectEntrySettings,
-        headers: Arc<dyn HeaderForm>,
+        headers: Arc<dyn HeaderFormat>,
         clock: NodeClock,
     ) -> Arc<Self> {
         let budget = retry_budget(settings.direct.retry);
--- a/crates/daemon/src/direct/state/server_signals.rs
+++ b/crates/daemon/src/direct/state/server_signals.rs
@@ -11,7 +11,7 @@
     },
     time::Moment,
 };
-use headlatch_outside::headers::{AnswerFacts, ParsedHeader};
+use headlatch_outside::headers::{ParsedHeader, ResponseMetadata};
 use headlatch_types::quantity::RequestRate;
 use serde_json::json;
 
@@ -28,7 +28,7 @@
 
 impl EntryState {
     /// Applies the signals in a response of `server` to a request that was sent at `sent`.
-    pub fn apply_signals(&self, server: &ChosenServer, sent: Moment, facts: &AnswerFacts) {
+    pub fn apply_signals(&self, server: &ChosenServer, sent: Moment, facts: &ResponseMetadata) {
         self.apply_draining(server, facts.draining);
         self.apply_retry_after(server, facts.retry_after);
         self.record_limit(server, sent, facts);
@@ -74,7 +74,7 @@
         decisions::note("servers", "backoff_requested", fields);
     }
 
-    fn record_limit(&self, server: &ChosenServer, sent: Moment, facts: &AnswerFacts) {
+    fn record_limit(&self, server: &ChosenServer, sent: Moment, facts: &ResponseMetadata) {
         let limit = match facts.rate_limit {
             ParsedHeader::Valid(limit) => Some(limit),
             ParsedHeader::Malformed => Some(self.fallback_limit(server)),
--- a/crates/daemon/src/direct/unknown_headers.rs
+++ b/crates/daemon/src/direct/unknown_headers.rs
@@ -36,7 +36,7 @@
 impl EntryState {
     /// Counts the unknown headers of a response and logs each name once.
     pub fn record_unknown_headers(&self, server: &ServerId, headers: &HeaderMap) {
-        for name in self.headers.unknown_in_answer(headers) {
+        for name in self.headers.unknown_response_headers(headers) {
             let noted = self.unknown_headers().note(&name);
             let label = noted.map_or(OTHER_NAMES, |_| name.as_str());
             self.metrics.count_unknown_header(label);
--- a/crates/daemon/src/direct/weights.rs
+++ b/crates/daemon/src/direct/weights.rs
@@ -115,5 +115,5 @@
 pub fn burst_manifest(pieces: &PieceManifest) -> Manifest {
     let digests = pieces.digests.iter().map(|digest| Digest::from(digest.0)).collect();
     let name = piece_name(&pieces.model, pieces.version);
-    Manifest::of_pieces(&name, pieces.piece_bytes.into(), digests)
+    Manifest::from_pieces(&name, pieces.piece_bytes.into(), digests)
 }
--- a/crates/daemon/tests/begun_answers.rs
+++ b/crates/daemon/tests/begun_answers.rs
@@ -18,7 +18,7 @@
 use headlatch_daemon::direct::entry::DirectEntry;
 use headlatch_outside::facts::{Fact, FactTopic};
 use headlatch_types::traffic::{
-    EngineFigures, HeldModel, ServerRecord, ServicePlan, TrafficPlan, WantedWeights, WeightVersion,
+    EngineCapacity, HeldModel, ServerRecord, ServicePlan, TargetWeights, TrafficPlan, WeightVersion,
 };
 use support::{
     TestHeaders, TestStore, agent::drains_told, ask_with, paced::EventPace, plan, record,
@@ -31,13 +31,13 @@
 const WEIGHTS_TIME: Duration = Duration::from_millis(2000);
 
 fn engine_plan() -> TrafficPlan {
-    let engine = EngineFigures {
+    let engine = EngineCapacity {
         slots: 4,
         step_ms: 7.0,
         stride: 7,
         read_per_second: 30_000.0,
         models: vec![MODEL.parse().expect("valid name")],
-        ..EngineFigures::default()
+        ..EngineCapacity::default()
     };
     let service = ServicePlan { engine: Some(engine), ..ServicePlan::default() };
     TrafficPlan { services: [("s".into(), service)].into(), ..plan(5) }
@@ -81,7 +81,7 @@
     /// Publishes a version of the weights and waits until the entry knows of it.
     async fn publish_version(&self, version: u64) {
         let model = MODEL.parse().expect("valid name");
-        let wanted = WantedWeights { model, version: WeightVersion(version) };
+        let wanted = TargetWeights { model, version: WeightVersion(version) };
         self.store.set(FactTopic::Weights, MODEL, Fact::Weights(wanted));
         let model = MODEL.parse().expect("valid name");
         while self.entry.state.weights().newest(&model) != Some(WeightVersion(version)) {
--- a/crates/daemon/tests/direct_agent.rs
+++ b/crates/daemon/tests/direct_agent.rs
@@ -33,8 +33,8 @@
     id::ModelName,
     settings::DaemonSettings,
     traffic::{
-        BirthTime, EngineFigures, HeldLayers, HeldModel, OriginPlan, ServicePlan, TrafficPlan,
-        WantedWeights, WeightVersion,
+        EngineCapacity, HeldLayers, HeldModel, OriginPlan, ServicePlan, StartTime, TargetWeights,
+        TrafficPlan, WeightVersion,
     },
 };
 
@@ -72,7 +72,7 @@
     /// Requests that run.
     active: u32,
     /// When it was started, if it tells that.
-    born: Option<BirthTime>,
+    born: Option<StartTime>,
     /// An order was taken with a stage that was not whole and right.
     mixed: bool,
 }
@@ -89,7 +89,8 @@
         let sequence = OrderSequence(state.sequence);
         let active = state.active;
         let born = state.born;
-        let report = StageReport { models, sequence, active, born, ..StageReport::default() };
+        let report =
+            StageReport { models, sequence, active, started_at: born, ..StageReport::default() };
         Box::pin(async move { Ok(report) })
     }
 
@@ -222,7 +223,7 @@
             FactTopic::Plan => Some(Fact::Plan(Box::new(plan()))),
             FactTopic::Servers | FactTopic::Evacuations => None,
             FactTopic::Weights => lock(&self.wanted)
-                .map(|version| Fact::Weights(WantedWeights { model: model(), version })),
+                .map(|version| Fact::Weights(TargetWeights { model: model(), version })),
         };
         let named = fact.map(|fact| NamedFact {
             name: "one".to_owned(),
@@ -257,7 +258,7 @@
 }
 
 fn plan() -> TrafficPlan {
-    let engine = EngineFigures { layers: LAYERS, models: vec![model()], ..Default::default() };
+    let engine = EngineCapacity { layers: LAYERS, models: vec![model()], ..Default::default() };
     let origin = OriginPlan {
         address: "127.0.0.1:1".parse().expect("an address"),
         bytes_per_second: 10_000_000,
@@ -464,14 +465,14 @@
 #[tokio::test]
 async fn a_server_that_returns_under_its_id_is_given_its_weights_at_once() {
     let engine = TestEngine::default();
-    lock(&engine.state).born = Some(BirthTime(1000));
+    lock(&engine.state).born = Some(StartTime(1000));
     let setting = Setting::new(engine, TestOrigin::default()).await;
     while lock(&setting.engine.state).orders.is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     {
         let mut state = lock(&setting.engine.state);
-        (state.holds, state.sequence, state.born) = (None, 0, Some(BirthTime(2000)));
+        (state.holds, state.sequence, state.born) = (None, 0, Some(StartTime(2000)));
     }
     let begun = std::time::Instant::now();
     while lock(&setting.engine.state).orders.len() < 2 {
--- a/crates/daemon/tests/direct_entry.rs
+++ b/crates/daemon/tests/direct_entry.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use headlatch_core::direct::{fact_age::ChangeMark, peers::DrainNotice};
 use headlatch_daemon::direct::{entry::DirectEntry, facts::FactNews, plan_sync};
-use headlatch_http::{CallAnswer, Connections};
+use headlatch_http::{CallResponse, Connections};
 use headlatch_outside::{
     OutsideFuture,
     facts::{
@@ -129,7 +129,7 @@
         Self { entry, store, first, second }
     }
 
-    async fn ask(&self, path: &str, key: &str) -> std::result::Result<CallAnswer, String> {
+    async fn ask(&self, path: &str, key: &str) -> std::result::Result<CallResponse, String> {
         ask(self.entry.address, path, key).await
     }
 }
--- a/crates/daemon/tests/harmful_requests.rs
+++ b/crates/daemon/tests/harmful_requests.rs
@@ -19,10 +19,10 @@
 use googletest::prelude::*;
 use headlatch_core::direct::request_digest::{RequestContent, RequestDigests};
 use headlatch_daemon::direct::entry::DirectEntry;
-use headlatch_http::{CallAnswer, CallRequest, Connections};
+use headlatch_http::{CallRequest, CallResponse, Connections};
 use headlatch_outside::{
     facts::{Fact, FactTopic},
-    quarantine::{KeptQuarantine, UnixMillis},
+    quarantine::{QuarantineEntry, UnixMillis},
 };
 use headlatch_types::{request::RequestDigest, traffic::ServerRecord};
 use http::{HeaderMap, Method, StatusCode};
@@ -64,13 +64,13 @@
         Self { entry, servers, store }
     }
 
-    async fn ask(&self, path: &str) -> std::result::Result<CallAnswer, String> {
+    async fn ask(&self, path: &str) -> std::result::Result<CallResponse, String> {
         ask_with(self.entry.address, path, &[("x-key", "k")]).await
     }
 
     /// Sends a harmful request until it is refused.
     async fn quarantine_harmful_request(&self) {
-        let refused = |answer: &CallAnswer| answer.status == StatusCode::SERVICE_UNAVAILABLE;
+        let refused = |answer: &CallResponse| answer.status == StatusCode::SERVICE_UNAVAILABLE;
         for _ in 0..3 {
             if self.ask("/stream/harmful").await.as_ref().is_ok_and(refused) {
                 return;
@@ -83,8 +83,8 @@
     }
 }
 
-fn is_complete(answer: &std::result::Result<CallAnswer, String>) -> bool {
-    let last = |answer: &CallAnswer| String::from_utf8_lossy(&answer.body).contains("piece 20\n");
+fn is_complete(answer: &std::result::Result<CallResponse, String>) -> bool {
+    let last = |answer: &CallResponse| String::from_utf8_lossy(&answer.body).contains("piece 20\n");
     answer.as_ref().is_ok_and(|answer| answer.status == StatusCode::OK && last(answer))
 }
 
@@ -237,7 +237,7 @@
     let until = kept.kept()[0].until.0;
     expect_that!(until, all![gt(unix_now() + 500_000), le(unix_now() + 600_000)]);
     drop(first);
-    let over = KeptQuarantine { digest: RequestDigest(7), until: UnixMillis(unix_now() - 1) };
+    let over = QuarantineEntry { digest: RequestDigest(7), until: UnixMillis(unix_now() - 1) };
     kept.change(|kept| kept.push(over)).expect("record is stored");
     let second = Fixture::with_quarantines(3, kept.clone()).await;
     while second.entry.state.quarantine.refused(second.entry.state.now()).is_empty() {
@@ -252,7 +252,7 @@
     }
 }
 
-async fn admin(fixture: &Fixture, method: Method, path: &str) -> CallAnswer {
+async fn admin(fixture: &Fixture, method: Method, path: &str) -> CallResponse {
     let request = CallRequest::get(path).sending(method, HeaderMap::new(), "".into());
     let connections = Connections::default();
     let called = connections.call(fixture.entry.admin, request, 1 << 20, Duration::from_secs(5));
--- a/crates/daemon/tests/load_shedding.rs
+++ b/crates/daemon/tests/load_shedding.rs
@@ -10,7 +10,7 @@
 use headlatch_daemon::{direct::entry::DirectEntry, metrics::RequestStep};
 use headlatch_outside::facts::{Fact, FactTopic};
 use headlatch_types::traffic::{
-    EngineFigures, HeldModel, Route, RouteKind, ServerRecord, ServicePlan, TrafficPlan,
+    EngineCapacity, HeldModel, Route, RouteKind, ServerRecord, ServicePlan, TrafficPlan,
     WeightVersion,
 };
 use http::StatusCode;
@@ -34,14 +34,14 @@
 
 impl Fixture {
     async fn new() -> Self {
-        let figures = EngineFigures {
+        let figures = EngineCapacity {
             slots: SLOTS,
             step_ms: 7.0,
             stride: 7,
             read_per_second: 30_000.0,
             usual_prompt: 300,
             usual_answer: 100,
-            ..EngineFigures::default()
+            ..EngineCapacity::default()
         };
         let service = ServicePlan { engine: Some(figures), ..ServicePlan::default() };
         let stream = Route { objective_ms: 500, ..route("stream", RouteKind::Stream) };
--- a/crates/daemon/tests/lost_watches.rs
+++ b/crates/daemon/tests/lost_watches.rs
@@ -22,7 +22,7 @@
     },
 };
 use headlatch_types::ByteProgress;
-use headlatch_types::traffic::{WantedWeights, WeightVersion};
+use headlatch_types::traffic::{TargetWeights, WeightVersion};
 use tokio::time::Instant;
 
 /// Time after which the platform's client gives a call up, beside the time that it waits.
@@ -94,7 +94,7 @@
 }
 
 fn fact(revision: u64) -> NamedFact {
-    let wanted = WantedWeights {
+    let wanted = TargetWeights {
         model: "m".parse().expect("a model's name"),
         version: WeightVersion(revision),
     };
--- a/crates/daemon/tests/panics.rs
+++ b/crates/daemon/tests/panics.rs
@@ -18,7 +18,7 @@
     facts::{
         Fact, FactChanges, FactList, FactStore, FactTopic, Freshness, StoreFailure, StoreRevision,
     },
-    headers::{AnswerFacts, HeaderForm, RequestFacts, SendFacts},
+    headers::{ForwardMetadata, HeaderFormat, RequestMetadata, ResponseMetadata},
 };
 use headlatch_types::ByteProgress;
 use http::{HeaderMap, StatusCode};
@@ -63,18 +63,18 @@
 #[derive(Debug)]
 struct PanickingHeaders;
 
-impl HeaderForm for PanickingHeaders {
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts {
+impl HeaderFormat for PanickingHeaders {
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata {
         assert!(!headers.contains_key("x-panic"), "a head that nobody can read");
         TestHeaders.read_request(headers)
     }
 
-    fn write_request(&self, headers: &mut HeaderMap, facts: &SendFacts) {
+    fn write_request(&self, headers: &mut HeaderMap, facts: &ForwardMetadata) {
         assert!(!headers.contains_key("x-panic-later"), "a head that nobody can pass on");
         TestHeaders.write_request(headers, facts);
     }
 
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
         TestHeaders.read_answer(status, headers)
     }
 
--- a/crates/daemon/tests/rate_limits.rs
+++ b/crates/daemon/tests/rate_limits.rs
@@ -13,7 +13,7 @@
 use googletest::prelude::*;
 use headlatch_outside::{
     facts::{Fact, FactTopic},
-    headers::HeaderForm,
+    headers::HeaderFormat,
 };
 use headlatch_platform::PlatformHeaders;
 use http::StatusCode;
@@ -48,7 +48,7 @@
             let name = format!("i{number}");
             store.set(FactTopic::Servers, &name, Fact::Server(record(&name, server.address, "z1")));
         }
-        let headers: Arc<dyn HeaderForm> = Arc::new(PlatformHeaders);
+        let headers: Arc<dyn HeaderFormat> = Arc::new(PlatformHeaders);
         let first = NUMBERS_USED.fetch_add(ENTRIES, Ordering::Relaxed) + 1;
         let numbers = first..=first + ENTRIES - 1;
         let entries = start_all_with(numbers, &store, &Arc::default(), &headers);
--- a/crates/daemon/tests/returning_servers.rs
+++ b/crates/daemon/tests/returning_servers.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use headlatch_daemon::direct::entry::DirectEntry;
 use headlatch_outside::facts::{Fact, FactTopic};
-use headlatch_types::traffic::{BirthTime, ServerRecord};
+use headlatch_types::traffic::{ServerRecord, StartTime};
 use http::StatusCode;
 use support::{
     TestHeaders, TestStore, ask_with, mortal::MortalServer, paced::EventPace, plan, record,
@@ -16,7 +16,7 @@
 
 fn born(server: &MortalServer, at: u64) -> Fact {
     let record = record("i1", server.address, "z1");
-    Fact::Server(ServerRecord { born: Some(BirthTime(at)), ..record })
+    Fact::Server(ServerRecord { started_at: Some(StartTime(at)), ..record })
 }
 
 /// Failures of the previous process kept a restarted server excluded for up to 4.8 s.
--- a/crates/daemon/tests/server_signals.rs
+++ b/crates/daemon/tests/server_signals.rs
@@ -6,10 +6,10 @@
 
 use googletest::prelude::*;
 use headlatch_daemon::direct::entry::DirectEntry;
-use headlatch_http::CallAnswer;
+use headlatch_http::CallResponse;
 use headlatch_outside::{
     facts::{Fact, FactTopic},
-    headers::HeaderForm,
+    headers::HeaderFormat,
 };
 use headlatch_platform::PlatformHeaders;
 use http::StatusCode;
@@ -46,7 +46,7 @@
         Self { entry, servers }
     }
 
-    async fn ask(&self, path: &str) -> CallAnswer {
+    async fn ask(&self, path: &str) -> CallResponse {
         let lines = [("request-id", "r1"), ("api-key", "k")];
         ask_with(self.entry.address, path, &lines).await.expect("response")
     }
@@ -115,7 +115,7 @@
         let name = format!("i{number}");
         store.set(FactTopic::Servers, &name, Fact::Server(record(&name, server.address, "z1")));
     }
-    let headers: Arc<dyn HeaderForm> = Arc::new(PlatformHeaders);
+    let headers: Arc<dyn HeaderFormat> = Arc::new(PlatformHeaders);
     let entries = start_all_with(1..=2, &store, &Arc::default(), &headers);
     let ask = |entry: &EntryProcess| {
         let lines = [("request-id", "r1"), ("api-key", "k")];
--- a/crates/daemon/tests/silent_sources.rs
+++ b/crates/daemon/tests/silent_sources.rs
@@ -19,7 +19,7 @@
 use headlatch_outside::{
     OutsideFuture,
     facts::{FactChanges, FactList, FactStore, FactTopic, Freshness, StoreFailure, StoreRevision},
-    headers::{AnswerFacts, HeaderForm, RequestFacts, SendFacts},
+    headers::{ForwardMetadata, HeaderFormat, RequestMetadata, ResponseMetadata},
 };
 use headlatch_types::{
     ByteProgress,
@@ -103,15 +103,15 @@
 #[derive(Debug)]
 struct NoHeaders;
 
-impl HeaderForm for NoHeaders {
-    fn read_request(&self, _headers: &HeaderMap) -> RequestFacts {
-        RequestFacts::default()
+impl HeaderFormat for NoHeaders {
+    fn read_request(&self, _headers: &HeaderMap) -> RequestMetadata {
+        RequestMetadata::default()
     }
 
-    fn write_request(&self, _headers: &mut HeaderMap, _facts: &SendFacts) {}
+    fn write_request(&self, _headers: &mut HeaderMap, _facts: &ForwardMetadata) {}
 
-    fn read_answer(&self, _status: StatusCode, _headers: &HeaderMap) -> AnswerFacts {
-        AnswerFacts::default()
+    fn read_answer(&self, _status: StatusCode, _headers: &HeaderMap) -> ResponseMetadata {
+        ResponseMetadata::default()
     }
 
     fn write_answer(&self, _headers: &mut HeaderMap, _request: &str) {}
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -17,9 +17,9 @@
 };
 
 use googletest::prelude::*;
-use headlatch_http::CallAnswer;
+use headlatch_http::CallResponse;
 use headlatch_outside::facts::{Fact, FactTopic};
-use headlatch_types::traffic::{BirthTime, ServerRecord};
+use headlatch_types::traffic::{ServerRecord, StartTime};
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use support::{
@@ -91,7 +91,7 @@
 struct CallRecord {
     id: String,
     path: String,
-    answer: std::result::Result<CallAnswer, String>,
+    answer: std::result::Result<CallResponse, String>,
 }
 
 /// Entries, servers, callers, and their records.
@@ -146,9 +146,9 @@
 
     fn list_server(&self, number: usize, server: &MortalServer, draining: bool) {
         let name = format!("i{number}");
-        let born = Some(BirthTime(self.births));
+        let born = Some(StartTime(self.births));
         let record = record(&name, server.address, "z1");
-        let fact = Fact::Server(ServerRecord { born, draining, ..record });
+        let fact = Fact::Server(ServerRecord { started_at: born, draining, ..record });
         self.store.set(FactTopic::Servers, &name, fact);
     }
 
@@ -351,7 +351,7 @@
     let mut headers = http::HeaderMap::new();
     headers.insert("x-id", answered.parse().expect("a value"));
     let status = StatusCode::from_u16(status).expect("a status");
-    let answer = Ok(CallAnswer { status, headers, body: body.to_owned().into() });
+    let answer = Ok(CallResponse { status, headers, body: body.to_owned().into() });
     CallRecord { id: id.to_owned(), path: path.to_owned(), answer }
 }
 
--- a/crates/daemon/tests/support/entries.rs
+++ b/crates/daemon/tests/support/entries.rs
@@ -8,7 +8,7 @@
 };
 
 use headlatch_daemon::direct::entry::DirectEntry;
-use headlatch_outside::headers::HeaderForm;
+use headlatch_outside::headers::HeaderFormat;
 use headlatch_types::direct_settings::DirectEntrySettings;
 use tokio::runtime::Runtime;
 
@@ -42,7 +42,7 @@
         numbers: RangeInclusive<u8>,
         store: Arc<TestStore>,
         kept: Arc<KeptList>,
-        headers: Arc<dyn HeaderForm>,
+        headers: Arc<dyn HeaderFormat>,
     ) -> Self {
         let mut own: DirectEntrySettings = settings();
         own.node.control = place(number);
@@ -67,7 +67,7 @@
 
 /// Starts entries and waits until they know each other.
 pub fn start_all(count: u8, store: &Arc<TestStore>, kept: &Arc<KeptList>) -> Vec<EntryProcess> {
-    start_all_with(1..=count, store, kept, &(Arc::new(TestHeaders) as Arc<dyn HeaderForm>))
+    start_all_with(1..=count, store, kept, &(Arc::new(TestHeaders) as Arc<dyn HeaderFormat>))
 }
 
 /// Starts entries of these numbers with a header form of their own and waits until they know each other.
@@ -75,7 +75,7 @@
     numbers: RangeInclusive<u8>,
     store: &Arc<TestStore>,
     kept: &Arc<KeptList>,
-    headers: &Arc<dyn HeaderForm>,
+    headers: &Arc<dyn HeaderFormat>,
 ) -> Vec<EntryProcess> {
     let start = |number| {
         let (store, kept) = (store.clone(), kept.clone());
--- a/crates/daemon/tests/support/kept.rs
+++ b/crates/daemon/tests/support/kept.rs
@@ -5,21 +5,21 @@
 use headlatch_outside::{
     OutsideFuture,
     facts::StoreFailure,
-    quarantine::{KeptQuarantine, QuarantineStore},
+    quarantine::{QuarantineEntry, QuarantineStore},
 };
 use headlatch_types::request::RequestDigest;
 
 /// What a store keeps of quarantines.
 #[derive(Debug, Default)]
 pub struct KeptList {
-    kept: Mutex<Vec<KeptQuarantine>>,
+    kept: Mutex<Vec<QuarantineEntry>>,
     /// Calls that fail before one is taken.
     failures: Mutex<u32>,
 }
 
 impl KeptList {
     /// What it keeps.
-    pub fn kept(&self) -> Vec<KeptQuarantine> {
+    pub fn kept(&self) -> Vec<QuarantineEntry> {
         self.kept.lock().expect("no test panics with it").clone()
     }
 
@@ -31,7 +31,7 @@
     /// Changes what it keeps.
     pub fn change(
         &self,
-        change: impl FnOnce(&mut Vec<KeptQuarantine>),
+        change: impl FnOnce(&mut Vec<QuarantineEntry>),
     ) -> std::result::Result<(), StoreFailure> {
         let mut failures = self.failures.lock().expect("no test panics with it");
         if *failures > 0 {
@@ -44,15 +44,15 @@
 }
 
 impl QuarantineStore for KeptList {
-    fn list_kept(
+    fn list_quarantines(
         &self,
-    ) -> OutsideFuture<'_, std::result::Result<Vec<KeptQuarantine>, StoreFailure>> {
+    ) -> OutsideFuture<'_, std::result::Result<Vec<QuarantineEntry>, StoreFailure>> {
         Box::pin(async { Ok(self.kept()) })
     }
 
     fn keep(
         &self,
-        quarantine: KeptQuarantine,
+        quarantine: QuarantineEntry,
     ) -> OutsideFuture<'_, std::result::Result<(), StoreFailure>> {
         Box::pin(async move { self.change(|kept| kept.push(quarantine)) })
     }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -15,14 +15,14 @@
 use std::{net::SocketAddr, sync::Mutex, time::Duration};
 
 use bytes::Bytes;
-use headlatch_http::{CallAnswer, Connections};
+use headlatch_http::{CallResponse, Connections};
 use headlatch_outside::{
     OutsideFuture,
     facts::{
         Fact, FactChanges, FactList, FactStore, FactTopic, Freshness, NamedFact, StoreFailure,
         StoreRevision,
     },
-    headers::{AnswerFacts, HeaderForm, RequestFacts, SendFacts},
+    headers::{ForwardMetadata, HeaderFormat, RequestMetadata, ResponseMetadata},
 };
 use headlatch_types::{
     ByteProgress,
@@ -39,21 +39,21 @@
 #[derive(Debug)]
 pub struct TestHeaders;
 
-impl HeaderForm for TestHeaders {
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts {
+impl HeaderFormat for TestHeaders {
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata {
         let text =
             |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-        RequestFacts {
+        RequestMetadata {
             id: text("x-id"),
             key: text("x-key"),
             deadline: Some(Duration::from_secs(20)),
             model: text("x-model"),
             answer_tokens: text("x-tokens").and_then(|tokens| tokens.parse().ok()),
-            ..RequestFacts::default()
+            ..RequestMetadata::default()
         }
     }
 
-    fn write_request(&self, headers: &mut HeaderMap, facts: &SendFacts) {
+    fn write_request(&self, headers: &mut HeaderMap, facts: &ForwardMetadata) {
         headers.remove("x-key");
         let last = facts.last_event.map(|event| event.to_string());
         let server = facts.server.as_ref().map(|server| server.to_string());
@@ -72,11 +72,11 @@
         }
     }
 
-    fn read_answer(&self, _status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
+    fn read_answer(&self, _status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
         let id = headers.get("x-id").and_then(|value| value.to_str().ok()).map(str::to_owned);
         let not_run = headers.contains_key("x-not-run");
         let signed = headers.contains_key("x-sign");
-        AnswerFacts { id, not_run, signed, ..AnswerFacts::default() }
+        ResponseMetadata { id, not_run, signed, ..ResponseMetadata::default() }
     }
 
     fn write_answer(&self, headers: &mut HeaderMap, request: &str) {
@@ -204,7 +204,7 @@
 pub fn record(name: &str, address: SocketAddr, zone: &str) -> ServerRecord {
     ServerRecord {
         id: ServerId(name.into()),
-        born: None,
+        started_at: None,
         service: "s".into(),
         address,
         zone: zone.parse().expect("a name"),
@@ -219,7 +219,7 @@
     address: SocketAddr,
     path: &str,
     key: &str,
-) -> std::result::Result<CallAnswer, String> {
+) -> std::result::Result<CallResponse, String> {
     ask_with(address, path, &[("x-key", key)]).await
 }
 
@@ -228,7 +228,7 @@
     address: SocketAddr,
     path: &str,
     lines: &[(&'static str, &str)],
-) -> std::result::Result<CallAnswer, String> {
+) -> std::result::Result<CallResponse, String> {
     let mut headers = HeaderMap::new();
     headers.insert("x-id", "r1".parse().expect("a value"));
     for (name, value) in lines {
@@ -246,7 +246,7 @@
     let (parts, body) = answer.into_parts();
     let body = http_body_util::BodyExt::collect(body).await.map_err(|error| error.to_string())?;
     let (status, headers) = (parts.status, parts.headers);
-    Ok(CallAnswer { status, headers, body: body.to_bytes() })
+    Ok(CallResponse { status, headers, body: body.to_bytes() })
 }
 
 /// The head of a request; none if the caller has gone.
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -24,17 +24,17 @@
 use tokio::{net::TcpStream, task::AbortHandle, time::Instant};
 
 /// Time for which a connection rests at most where its server says nothing.
-const REST_TIME: Duration = Duration::from_secs(8);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
 /// Part of the rest that a server grants which is used, in percent.
-const REST_PERCENT: u64 = 70;
+const KEEP_ALIVE_PERCENT: u64 = 70;
 
 /// Connections that rest for one address at most.
-const MOST_RESTING: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
 /// Largest body that is sent on a kept connection: a server may answer before it has read all of a
 /// longer one.
-const KEPT_BODY: usize = 32 << 10;
+const MAX_REUSABLE_BODY_BYTES: usize = 32 << 10;
 
 /// A call that brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -53,7 +53,7 @@
 }
 
 impl ExchangeError {
-    fn unsent(message: impl Into<String>, connecting: bool) -> Self {
+    fn not_sent(message: impl Into<String>, connecting: bool) -> Self {
         let verdict = RunVerdict::NotRun;
         Self { verdict, message: message.into(), connecting, refused: false, silent: false }
     }
@@ -80,11 +80,11 @@
 
 /// A connection in use; it is closed when this is dropped.
 #[derive(Debug)]
-pub struct HeldConnection {
+pub struct ActiveConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     _driver: DriverGuard,
-    rest: Duration,
+    idle_limit: Duration,
     reusable: bool,
 }
 
@@ -99,8 +99,8 @@
 }
 
 #[derive(Debug)]
-struct RestingConnection {
-    held: HeldConnection,
+struct IdleConnection {
+    held: ActiveConnection,
     /// When it brought an answer last.
     since: Instant,
     until: Instant,
@@ -109,12 +109,12 @@
 /// Connections to any number of addresses.
 #[derive(Debug, Default)]
 pub struct Connections {
-    resting: Mutex<HashMap<SocketAddr, Vec<RestingConnection>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl Connections {
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<RestingConnection>>> {
-        self.resting.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// A connection to `address` that is up within `time`, and whether it is new.
@@ -123,42 +123,42 @@
         address: SocketAddr,
         choice: ConnectionChoice,
         time: Duration,
-    ) -> Result<(HeldConnection, bool), ExchangeError> {
+    ) -> Result<(ActiveConnection, bool), ExchangeError> {
         if choice == ConnectionChoice::Kept
-            && let Some(held) = self.take_resting(address)
+            && let Some(held) = self.take_idle(address)
         {
             return Ok((held, false));
         }
         let opened = tokio::time::timeout(time, open(address)).await;
         let opened =
-            opened.map_err(|_| ExchangeError::unsent("no connection came up in time", true))?;
+            opened.map_err(|_| ExchangeError::not_sent("no connection came up in time", true))?;
         Ok((opened?, true))
     }
 
-    fn take_resting(&self, address: SocketAddr) -> Option<HeldConnection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<ActiveConnection> {
         let now = Instant::now();
-        let mut resting = self.lock();
-        let connections = resting.get_mut(&address)?;
+        let mut idle = self.lock();
+        let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
             if connection.until > now && connection.held.sender.is_ready() {
                 return Some(connection.held);
             }
         }
-        resting.remove(&address);
+        idle.remove(&address);
         None
     }
 
     /// Lets a connection rest whose answer has been read to its end.
-    pub fn put_back(&self, held: HeldConnection) {
+    pub fn release(&self, held: ActiveConnection) {
         if !held.reusable || held.sender.is_closed() {
             return;
         }
         let since = Instant::now();
-        let until = since + held.rest;
-        let mut resting = self.lock();
-        let connections = resting.entry(held.address).or_default();
-        if connections.len() < MOST_RESTING {
-            connections.push(RestingConnection { held, since, until });
+        let until = since + held.idle_limit;
+        let mut idle = self.lock();
+        let connections = idle.entry(held.address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(IdleConnection { held, since, until });
         }
     }
 
@@ -167,17 +167,17 @@
     ///
     /// Open connections may go silent for good, all at once, while new ones work: each of those that
     /// rested would be found out by a call of its own, which is lost.
-    pub fn forget_unheard(&self, address: SocketAddr, begun: Instant) {
+    pub fn close_stale(&self, address: SocketAddr, started: Instant) {
         if let Some(connections) = self.lock().get_mut(&address) {
-            connections.retain(|one| one.since > begun);
+            connections.retain(|one| one.since > started);
         }
     }
 
     /// Closes what rests for addresses that are not wanted any more, or has rested too long.
     pub fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let now = Instant::now();
-        let mut resting = self.lock();
-        resting.retain(|address, connections| {
+        let mut idle = self.lock();
+        idle.retain(|address, connections| {
             connections.retain(|one| one.until > now && !one.held.sender.is_closed());
             !connections.is_empty() && wanted(address)
         });
@@ -190,13 +190,13 @@
         request: CallRequest,
         most: usize,
         time: Duration,
-    ) -> Result<CallAnswer, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let late = || ExchangeError::silent("no answer in time");
-        let (begun, is_kept) = (Instant::now(), !request.closes);
+        let (started, is_kept) = (Instant::now(), !request.closes);
         let called = tokio::time::timeout(time, self.call_untimed(address, request, most, time));
         let answer = called.await.unwrap_or_else(|_| Err(late()));
         if is_kept && answer.as_ref().is_err_and(|error| error.silent) {
-            self.forget_unheard(address, begun);
+            self.close_stale(address, started);
         }
         answer
     }
@@ -207,29 +207,28 @@
         request: CallRequest,
         most: usize,
         time: Duration,
-    ) -> Result<CallAnswer, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let choice = match request.closes {
             true => ConnectionChoice::Fresh,
             false => ConnectionChoice::Kept,
         };
         let silence = request.silence.unwrap_or(time);
         let (mut held, _) = self.get(address, choice, silence).await?;
-        let uri: Uri = request
-            .path
-            .parse()
-            .map_err(|error| ExchangeError::unsent(format!("{}: {error}", request.path), false))?;
+        let uri: Uri = request.path.parse().map_err(|error| {
+            ExchangeError::not_sent(format!("{}: {error}", request.path), false)
+        })?;
         let mut headers = request.headers;
         if let Ok(host) = address.to_string().parse() {
             headers.insert(header::HOST, host);
         }
         let sent = held.send(request.method, uri, headers, request.body);
-        let answer = unless_silent(silence, sent).await??;
+        let answer = with_timeout(silence, sent).await??;
         let (parts, body) = answer.into_parts();
-        let body = read_whole(Limited::new(body, most), silence, &request.progress).await?;
+        let body = read_to_end(Limited::new(body, most), silence, &request.progress).await?;
         if !request.closes {
-            self.put_back(held);
+            self.release(held);
         }
-        Ok(CallAnswer { status: parts.status, headers: parts.headers, body })
+        Ok(CallResponse { status: parts.status, headers: parts.headers, body })
     }
 }
 
@@ -277,19 +276,19 @@
     }
 
     /// The same, given up when nothing has come for `silence`.
-    pub fn silent_for(self, silence: Duration) -> Self {
+    pub fn with_idle_timeout(self, silence: Duration) -> Self {
         Self { silence: Some(silence), ..self }
     }
 
     /// The same, with `progress` being told what has come of the answer.
-    pub fn noting(self, progress: ByteProgress) -> Self {
+    pub fn with_progress(self, progress: ByteProgress) -> Self {
         Self { progress, ..self }
     }
 }
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -298,7 +297,7 @@
     pub body: Bytes,
 }
 
-async fn unless_silent<T>(
+async fn with_timeout<T>(
     silence: Duration,
     step: impl Future<Output = T>,
 ) -> Result<T, ExchangeError> {
@@ -307,13 +306,13 @@
 }
 
 /// Reads a body to its end; it may be long in coming, but not silent for `silence`.
-async fn read_whole(
+async fn read_to_end(
     mut body: Limited<Incoming>,
     silence: Duration,
     progress: &ByteProgress,
 ) -> Result<Bytes, ExchangeError> {
     let mut whole = BytesMut::new();
-    while let Some(frame) = unless_silent(silence, body.frame()).await? {
+    while let Some(frame) = with_timeout(silence, body.frame()).await? {
         let frame = frame.map_err(|error| ExchangeError::lost(error.to_string()))?;
         if let Ok(data) = frame.into_data() {
             progress.add(data.len());
@@ -323,8 +322,8 @@
     Ok(whole.freeze())
 }
 
-async fn open(address: SocketAddr) -> Result<HeldConnection, ExchangeError> {
-    let failure = |message: String| ExchangeError::unsent(message, true);
+async fn open(address: SocketAddr) -> Result<ActiveConnection, ExchangeError> {
+    let failure = |message: String| ExchangeError::not_sent(message, true);
     let stream = TcpStream::connect(address).await.map_err(|error| ExchangeError {
         refused: error.kind() == std::io::ErrorKind::ConnectionRefused,
         ..failure(format!("{address}: {error}"))
@@ -340,10 +339,16 @@
         let _ = connection.await;
     });
     let driver = DriverGuard(task.abort_handle());
-    Ok(HeldConnection { address, sender, _driver: driver, rest: REST_TIME, reusable: true })
+    Ok(ActiveConnection {
+        address,
+        sender,
+        _driver: driver,
+        idle_limit: MAX_IDLE_TIME,
+        reusable: true,
+    })
 }
 
-impl HeldConnection {
+impl ActiveConnection {
     /// Sends a request and returns the answer's head with its body to come.
     pub async fn send(
         &mut self,
@@ -352,7 +357,7 @@
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        if body.len() > KEPT_BODY {
+        if body.len() > MAX_REUSABLE_BODY_BYTES {
             self.reusable = false;
         }
         let mut request = Request::new(Full::new(body));
@@ -361,14 +366,14 @@
         *request.headers_mut() = headers;
         let sent = self.sender.try_send_request(request).await;
         let answer = sent.map_err(|mut error| match error.take_message() {
-            Some(_) => ExchangeError::unsent("the connection had closed", false),
+            Some(_) => ExchangeError::not_sent("the connection had closed", false),
             None => ExchangeError::lost(error.error().to_string()),
         })?;
-        self.start_backoff(answer.headers());
+        self.update_keep_alive(answer.headers());
         Ok(answer)
     }
 
-    fn start_backoff(&mut self, headers: &HeaderMap) {
+    fn update_keep_alive(&mut self, headers: &HeaderMap) {
         let closes = headers
             .get(header::CONNECTION)
             .and_then(|value| value.to_str().ok())
@@ -383,7 +388,8 @@
             .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next())
             .and_then(|seconds| seconds.parse::<u64>().ok());
         if let Some(seconds) = granted {
-            self.rest = Duration::from_millis(seconds * 10 * REST_PERCENT).min(REST_TIME);
+            self.idle_limit =
+                Duration::from_millis(seconds * 10 * KEEP_ALIVE_PERCENT).min(MAX_IDLE_TIME);
         }
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use client::{CallError, HttpCaller};
 pub use connections::{
-    CallAnswer, CallRequest, ConnectionChoice, Connections, ExchangeError, HeldConnection,
+    ActiveConnection, CallRequest, CallResponse, ConnectionChoice, Connections, ExchangeError,
 };
 pub use server::{BodyError, HttpLimits, HttpServer, read_body};
 pub use stop::{StopHandle, StopSignal};
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/stall.rs
@@ -18,15 +18,15 @@
 #[derive(Debug)]
 pub struct StallGuard<S> {
     stream: S,
-    patience: Duration,
+    timeout: Duration,
     /// Runs while a write waits.
-    waiting: Option<Pin<Box<Sleep>>>,
+    deadline: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> StallGuard<S> {
     /// Guards `stream`; a write may wait for `patience`.
-    pub fn new(stream: S, patience: Duration) -> Self {
-        Self { stream, patience, waiting: None }
+    pub fn new(stream: S, timeout: Duration) -> Self {
+        Self { stream, timeout, deadline: None }
     }
 
     /// Has a write that waits fail when its time is over.
@@ -36,15 +36,15 @@
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.waiting = None;
+            self.deadline = None;
             return written;
         }
-        let patience = self.patience;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep(patience)));
-        match waiting.as_mut().poll(context) {
+        let timeout = self.timeout;
+        let deadline = self.deadline.get_or_insert_with(|| Box::pin(sleep(timeout)));
+        match deadline.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => {
-                let message = format!("nothing was read for {} ms", patience.as_millis());
+                let message = format!("nothing was read for {} ms", timeout.as_millis());
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, message)))
             }
         }
--- a/crates/http/tests/silence.rs
+++ b/crates/http/tests/silence.rs
@@ -32,7 +32,7 @@
 async fn an_answer_that_stops_coming_is_given_up() {
     for parts in [&[][..], &["HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n", "ab"][..]] {
         let address = server(parts, Duration::ZERO).await;
-        let request = CallRequest::get("/").silent_for(Duration::from_millis(200));
+        let request = CallRequest::get("/").with_idle_timeout(Duration::from_millis(200));
         let answer = Connections::default().call(address, request, MOST, CALL_TIME).await;
         let error = answer.expect_err("the answer is not whole");
         expect_that!(error.message, eq("silent for 200 ms"));
@@ -45,7 +45,7 @@
     let parts = &["HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n", "a", "b", "c", "d", "e", "f"];
     let address = server(parts, Duration::from_millis(300)).await;
     // The parts together take longer than the silence that is borne.
-    let request = CallRequest::get("/").silent_for(Duration::from_secs(2));
+    let request = CallRequest::get("/").with_idle_timeout(Duration::from_secs(2));
     let answer = Connections::default().call(address, request, MOST, CALL_TIME).await;
     expect_that!(&answer.expect("it is whole").body[..], eq(b"abcdef"));
 }
--- a/crates/http/tests/silent_connections.rs
+++ b/crates/http/tests/silent_connections.rs
@@ -20,7 +20,7 @@
 }
 
 async fn call(connections: &Connections, address: SocketAddr) -> bool {
-    let request = CallRequest::get("/").silent_for(SILENCE);
+    let request = CallRequest::get("/").with_idle_timeout(SILENCE);
     connections.call(address, request, MOST, CALL_TIME).await.is_ok()
 }
 
--- a/crates/outside/src/engine.rs
+++ b/crates/outside/src/engine.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use headlatch_types::{
     id::ModelName,
-    traffic::{BirthTime, HeldModel, WeightVersion},
+    traffic::{HeldModel, StartTime, WeightVersion},
 };
 
 use crate::OutsideFuture;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StageReport {
     /// This start of it, if it tells that.
-    pub born: Option<BirthTime>,
+    pub started_at: Option<StartTime>,
     /// Models that it holds.
     pub models: Vec<HeldModel>,
     /// Whether an order is under way.
--- a/crates/outside/src/facts.rs
+++ b/crates/outside/src/facts.rs
@@ -5,7 +5,7 @@
 use headlatch_types::{
     ByteProgress, InputError,
     id::DomainId,
-    traffic::{ServerRecord, TrafficPlan, WantedWeights},
+    traffic::{ServerRecord, TargetWeights, TrafficPlan},
 };
 
 use crate::OutsideFuture;
@@ -53,7 +53,7 @@
     /// A server.
     Server(ServerRecord),
     /// A wanted version.
-    Weights(WantedWeights),
+    Weights(TargetWeights),
     /// A failure domain that is being emptied.
     Evacuation(DomainId),
 }
--- a/crates/outside/src/headers.rs
+++ b/crates/outside/src/headers.rs
@@ -10,7 +10,7 @@
 
 /// What a request's head says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Its id, exactly as it came.
     pub id: Option<String>,
     /// Time for which the caller waits.
@@ -29,7 +29,7 @@
 
 /// What a request to a server says besides what the caller sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SendFacts {
+pub struct ForwardMetadata {
     /// Time that is left.
     pub deadline: Option<Duration>,
     /// The server that it is meant for.
@@ -58,7 +58,7 @@
 
 /// What an answer's head says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The id of the request that it answers.
     pub id: Option<String>,
     /// The server states that it did not run the request.
@@ -76,15 +76,15 @@
 }
 
 /// The headers in which one platform says these things.
-pub trait HeaderForm: Send + Sync + fmt::Debug {
+pub trait HeaderFormat: Send + Sync + fmt::Debug {
     /// Reads a request's head.
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Takes out of a request's head what servers must not see, and adds what they must.
-    fn write_request(&self, headers: &mut HeaderMap, facts: &SendFacts);
+    fn write_request(&self, headers: &mut HeaderMap, facts: &ForwardMetadata);
     /// Reads an answer's head.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
     /// Names of headers in an answer that neither HTTP nor this form defines.
-    fn unknown_in_answer(&self, _headers: &HeaderMap) -> Vec<HeaderName> {
+    fn unknown_response_headers(&self, _headers: &HeaderMap) -> Vec<HeaderName> {
         Vec::new()
     }
     /// Marks an answer of our own as belonging to a request.
--- a/crates/outside/src/quarantine.rs
+++ b/crates/outside/src/quarantine.rs
@@ -13,7 +13,7 @@
 
 /// A request that is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptQuarantine {
+pub struct QuarantineEntry {
     /// The request.
     pub digest: RequestDigest,
     /// Until when it is refused.
@@ -23,10 +23,10 @@
 /// Keeps which requests are refused.
 pub trait QuarantineStore: Send + Sync + fmt::Debug {
     /// All that are kept; what cannot be read is left out.
-    fn list_kept(&self) -> OutsideFuture<'_, Result<Vec<KeptQuarantine>, StoreFailure>>;
+    fn list_quarantines(&self) -> OutsideFuture<'_, Result<Vec<QuarantineEntry>, StoreFailure>>;
 
     /// Keeps one, in place of what was kept of the same request.
-    fn keep(&self, quarantine: KeptQuarantine) -> OutsideFuture<'_, Result<(), StoreFailure>>;
+    fn keep(&self, quarantine: QuarantineEntry) -> OutsideFuture<'_, Result<(), StoreFailure>>;
 
     /// Keeps one no longer; it may not be there.
     fn lift(&self, digest: RequestDigest) -> OutsideFuture<'_, Result<(), StoreFailure>>;
--- a/crates/types/src/direct_settings.rs
+++ b/crates/types/src/direct_settings.rs
@@ -75,10 +75,10 @@
 }
 
 /// Least time in which a failure domain is to get nothing new, in milliseconds.
-const LEAST_EVACUATE_MS: u64 = 4_000;
+const MIN_EVACUATE_MS: u64 = 4_000;
 
 /// Least memory that a process runs in.
-const LEAST_MEMORY: ByteSize = ByteSize::from_mib(16);
+const MIN_MEMORY: ByteSize = ByteSize::from_mib(16);
 
 fn default_memory() -> ByteSize {
     ByteSize::from_mib(256)
@@ -180,19 +180,18 @@
         let message = "0 leaves no time to change weights; give milliseconds";
         return Err(InputError::new("direct.weights_ms", message));
     }
-    if raw.memory < LEAST_MEMORY {
-        let message =
-            format!("{} is too little to run in; give {LEAST_MEMORY} or more", raw.memory);
+    if raw.memory < MIN_MEMORY {
+        let message = format!("{} is too little to run in; give {MIN_MEMORY} or more", raw.memory);
         return Err(InputError::new("direct.memory", message));
     }
     if raw.stall_ms == 0 {
         let message = "0 leaves callers no time to read; give milliseconds";
         return Err(InputError::new("direct.stall_ms", message));
     }
-    if let Some(millis) = raw.evacuate_ms.filter(|millis| *millis < LEAST_EVACUATE_MS) {
+    if let Some(millis) = raw.evacuate_ms.filter(|millis| *millis < MIN_EVACUATE_MS) {
         let message = format!(
             "{millis} ms is less than a change of the store takes to reach all entries; give \
-             {LEAST_EVACUATE_MS} or more"
+             {MIN_EVACUATE_MS} or more"
         );
         return Err(InputError::new("direct.evacuate_ms", message));
     }
--- a/crates/types/src/fleet.rs
+++ b/crates/types/src/fleet.rs
@@ -252,7 +252,7 @@
     /// Replicas that must keep serving in `domain` while versions change.
     ///
     /// Where the file is silent it is all but one, so that a change of version can go on at all.
-    pub fn kept_in(&self, domain: &DomainId) -> u32 {
+    pub fn min_serving(&self, domain: &DomainId) -> u32 {
         let replicas = self.replicas.get(domain).copied().unwrap_or(0);
         self.keep_serving.get(domain).copied().unwrap_or(replicas.saturating_sub(1))
     }
@@ -392,7 +392,7 @@
         let message = "no failure domain is named; give at least one, or remove the model";
         return Err(InputError::new(format!("{at}.replicas"), message));
     }
-    let keep_serving = check_kept(raw, &replicas, &format!("{at}.keep_serving"))?;
+    let keep_serving = check_keep_serving(raw, &replicas, &format!("{at}.keep_serving"))?;
     Ok(ModelPlan { name, version, base, adapters, role: raw.role, replicas, keep_serving })
 }
 
@@ -441,7 +441,7 @@
     raw.iter().map(check).collect()
 }
 
-fn check_kept(
+fn check_keep_serving(
     raw: &RawModel,
     replicas: &BTreeMap<DomainId, u32>,
     at: &str,
@@ -477,8 +477,8 @@
         );
         return Err(InputError::new(format!("{at}.prefix"), message));
     }
-    check_calls(&raw.not_repeatable, &format!("{at}.not_repeatable"))?;
-    check_calls(&raw.repeatable, &format!("{at}.repeatable"))?;
+    check_call_patterns(&raw.not_repeatable, &format!("{at}.not_repeatable"))?;
+    check_call_patterns(&raw.repeatable, &format!("{at}.repeatable"))?;
     Ok(ServicePlan {
         name,
         prefix: raw.prefix.clone(),
@@ -487,7 +487,7 @@
     })
 }
 
-fn check_calls(calls: &[CallPattern], at: &str) -> Result<(), InputError> {
+fn check_call_patterns(calls: &[CallPattern], at: &str) -> Result<(), InputError> {
     const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
     for (nth, call) in calls.iter().enumerate() {
         if !METHODS.contains(&call.method.as_str()) {
--- a/crates/types/src/manifest.rs
+++ b/crates/types/src/manifest.rs
@@ -55,7 +55,7 @@
 
 /// One chunk: what it must hash to and where its bytes stand.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ChunkPlace {
+pub struct ChunkLocation {
     /// Digest of the bytes.
     pub digest: Digest,
     /// Index of its file in [`Manifest::files`].
@@ -71,7 +71,7 @@
 pub struct Manifest {
     digest: Digest,
     files: Vec<FileEntry>,
-    chunks: Vec<ChunkPlace>,
+    chunks: Vec<ChunkLocation>,
     total: ByteSize,
     kind: DigestKind,
 }
@@ -93,7 +93,7 @@
             .map_err(|_| InputError::new("", "the manifest is not UTF-8 text"))?;
         let raw: RawManifest = from_json(plain)?;
         check_files(&raw)?;
-        let chunks = place_chunks(&raw)?;
+        let chunks = locate_chunks(&raw)?;
         let total = ByteSize::from_bytes(raw.files.iter().map(|file| file.bytes).sum());
         let kind = DigestKind::Blake3;
         Ok(Self { digest: Digest::of(text), files: raw.files, chunks, total, kind })
@@ -101,13 +101,13 @@
 
     /// The manifest of weights that are published as pieces of equal size with SHA-256 digests.
     /// `name` tells apart versions with the same pieces.
-    pub fn of_pieces(name: &str, piece_bytes: u64, digests: Vec<Digest>) -> Self {
+    pub fn from_pieces(name: &str, piece_bytes: u64, digests: Vec<Digest>) -> Self {
         let mut text = name.as_bytes().to_vec();
         digests.iter().for_each(|digest| text.extend_from_slice(digest.as_bytes()));
         let bytes = piece_bytes * digests.len() as u64;
         let places = digests.iter().zip(0u64..).map(|(digest, nth)| {
             let offset = nth * piece_bytes;
-            ChunkPlace { digest: *digest, file: 0, offset, length: piece_bytes }
+            ChunkLocation { digest: *digest, file: 0, offset, length: piece_bytes }
         });
         let chunks = places.collect();
         let files = vec![FileEntry { path: name.to_owned(), bytes, chunks: digests }];
@@ -131,12 +131,12 @@
     }
 
     /// Every chunk in order.
-    pub fn chunks(&self) -> &[ChunkPlace] {
+    pub fn chunks(&self) -> &[ChunkLocation] {
         &self.chunks
     }
 
     /// The chunk at `index`, if there is one.
-    pub fn chunk(&self, index: ChunkIndex) -> Option<&ChunkPlace> {
+    pub fn chunk(&self, index: ChunkIndex) -> Option<&ChunkLocation> {
         self.chunks.get(index.0 as usize)
     }
 
@@ -172,7 +172,7 @@
     path.len() <= 1024 && !path.contains('\0') && path.split('/').all(part_is_plain)
 }
 
-fn place_chunks(raw: &RawManifest) -> Result<Vec<ChunkPlace>, InputError> {
+fn locate_chunks(raw: &RawManifest) -> Result<Vec<ChunkLocation>, InputError> {
     let mut places = Vec::new();
     for (at, file) in raw.files.iter().enumerate() {
         let due = file.bytes.div_ceil(raw.chunk_bytes);
@@ -187,7 +187,7 @@
         places.extend(file.chunks.iter().zip(0u64..).map(|(digest, nth)| {
             let offset = nth * raw.chunk_bytes;
             let length = raw.chunk_bytes.min(file.bytes - offset);
-            ChunkPlace { digest: *digest, file: at, offset, length }
+            ChunkLocation { digest: *digest, file: at, offset, length }
         }));
     }
     if places.len() > u32::MAX as usize {
--- a/crates/types/src/traffic.rs
+++ b/crates/types/src/traffic.rs
@@ -162,7 +162,7 @@
 
 /// What a service's model engines can do, as far as it is known.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineFigures {
+pub struct EngineCapacity {
     /// Requests that run at the same time.
     pub slots: u32,
     /// Tokens that fit into memory.
@@ -205,7 +205,7 @@
     #[serde(default)]
     pub cold_per_second: f64,
     /// Its model engines, if it has any.
-    pub engine: Option<EngineFigures>,
+    pub engine: Option<EngineCapacity>,
     /// It hands out weights from here, if it does.
     pub origin: Option<OriginPlan>,
 }
@@ -254,7 +254,7 @@
     }
 
     /// Whether every request to a service may be cut and run again, or continued elsewhere.
-    pub fn may_cut(&self, service: &str) -> bool {
+    pub fn may_interrupt(&self, service: &str) -> bool {
         let sends = |route: &Route| route.targets.iter().any(|one| &*one.service == service);
         self.routes.iter().filter(|route| sends(route)).all(Route::repeatable)
     }
@@ -367,7 +367,7 @@
 /// When a server was started, as it says itself, in Unix milliseconds: it may start again under the id
 /// that it had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BirthTime(pub u64);
+pub struct StartTime(pub u64);
 
 /// One server as it is listed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -375,8 +375,8 @@
     /// Its id.
     pub id: ServerId,
     /// This start of it, if it tells that; else it has another id after each start.
-    #[serde(default)]
-    pub born: Option<BirthTime>,
+    #[serde(default, rename = "born")]
+    pub started_at: Option<StartTime>,
     /// The service it belongs to.
     pub service: Arc<str>,
     /// Where it answers.
@@ -396,7 +396,7 @@
 
 /// The version of a model's weights that is wanted everywhere.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WantedWeights {
+pub struct TargetWeights {
     /// The model.
     pub model: ModelName,
     /// The version.
--- a/crates/types/tests/agent_plan.rs
+++ b/crates/types/tests/agent_plan.rs
@@ -50,7 +50,7 @@
         let handed = plan.for_agents();
         expect_that!(handed.version, eq(plan.version));
         expect_that!(handed.origin(), eq(plan.origin()));
-        expect_that!(handed.may_cut("weights"), eq(plan.may_cut("weights")));
+        expect_that!(handed.may_interrupt("weights"), eq(plan.may_interrupt("weights")));
         expect_that!(handed.routes.len(), le(1));
         expect_that!(handed.tenants.len(), eq(0));
         expect_that!(handed.services.contains_key("plain"), eq(false));
