--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that says whether a failed call may have run.
+//! An HTTP client that reports whether a failed call may have run.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,13 +15,12 @@
 
 use crate::server::{BodyError, read_body};
 
-/// Time to connect to an address.
 const CONNECT_TIME: Duration = Duration::from_secs(2);
 
 /// Whether a call that failed may have run.
 ///
-/// volo-http 0.5.7 reports a failed connect as an error of the request, and tells it from one
-/// after sending only by its source: an I/O error of the system's, not one of hyper's.
+/// volo-http 0.5.7 reports a failed connect as a request error. It differs from a failure after sending only in
+/// its source, which is an I/O error instead of a hyper error.
 fn verdict_of(error: &ClientError) -> RunVerdict {
     let source = std::error::Error::source(error);
     let connecting = source.is_some_and(|source| source.is::<std::io::Error>());
@@ -32,7 +31,7 @@
     }
 }
 
-/// A call that brought no answer.
+/// A call that failed without a response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct CallError {
@@ -42,7 +41,7 @@
     pub message: String,
 }
 
-/// Calls HTTP services by IP number.
+/// Calls HTTP services by IP address.
 #[derive(Clone)]
 pub struct HttpCaller {
     client: Client,
@@ -55,15 +54,15 @@
 }
 
 impl HttpCaller {
-    /// A caller that keeps connections for further calls.
+    /// A client that reuses connections.
     pub fn pooled() -> Self {
         Self::build(true)
     }
 
-    /// A caller that opens a connection for every call.
+    /// A client that opens a new connection for every call.
     ///
-    /// A kept connection may be closed by the other side just as a call is sent on it, and then
-    /// nobody can tell whether the call ran. A fresh one fails before anything is sent.
+    /// The peer may close a reused connection while a call is being sent on it, and then it is unknown
+    /// whether the call ran. A new connection fails before anything is sent.
     pub fn fresh() -> Self {
         Self::build(false)
     }
@@ -78,7 +77,7 @@
         Self { client }
     }
 
-    /// Sends a request to `address` and returns the head of the answer with its body to come.
+    /// Sends a request to `address` and returns the response with its body still to be read.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -104,7 +103,8 @@
         })
     }
 
-    /// Sends a request and reads the whole answer, within `time` and up to `most` bytes.
+    /// Sends a request and reads the whole response, of up to `most` bytes. `time` limits the wait for the
+    /// head and then again the reading of the body.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -1,9 +1,9 @@
-//! Kept connections to servers, one request at a time on each.
+//! Connection pool for calls to servers, with one request at a time per connection.
 //!
-//! A library's pool may send a request on a connection that its server is closing, and then
-//! nobody can tell whether it ran. Here a request that was not written at all comes back as such,
-//! every connection is watched while it rests, and whatever is given up is closed at once, so that
-//! the server stops working on it.
+//! A general-purpose pool may send a request on a connection that the server is closing, and then it is unknown
+//! whether the request ran. This pool reports requests that were not written, watches idle connections for
+//! closure, and closes the connection of an aborted request at once, so that the server stops working on
+//! it.
 
 use std::{
     collections::HashMap,
@@ -23,20 +23,20 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle, time::Instant};
 
-/// Time for which a connection rests at most where its server says nothing.
+/// Longest time for which an idle connection is reused, also if the server allows more.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
-/// Part of the rest that a server grants which is used, in percent.
+/// Part of the server's keep-alive timeout for which an idle connection is reused, in percent.
 const KEEP_ALIVE_PERCENT: u64 = 70;
 
-/// Connections that rest for one address at most.
+/// Largest number of idle connections per address.
 const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Largest body that is sent on a kept connection: a server may answer before it has read all of a
-/// longer one.
+/// Largest request body after which a connection may be reused: a server may respond before it has read all
+/// of a longer one.
 const MAX_REUSABLE_BODY_BYTES: usize = 32 << 10;
 
-/// A call that brought no answer.
+/// A call that failed without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct ExchangeError {
@@ -44,11 +44,11 @@
     pub verdict: RunVerdict,
     /// What happened.
     pub message: String,
-    /// Whether no connection came up.
+    /// Whether no connection was established.
     pub connecting: bool,
-    /// Whether the other side's machine answered that nobody listens there.
+    /// Whether the connection was refused, so the peer's box is up but nothing listens on the port.
     pub refused: bool,
-    /// Whether nothing came in time on a connection that was up.
+    /// Whether an established connection timed out.
     pub silent: bool,
 }
 
@@ -71,10 +71,10 @@
 /// Which connection a request may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// One that has rested, if there is one.
+    /// An idle connection, if there is one.
     #[default]
     Kept,
-    /// A new one: a late answer to an earlier request cannot be on it.
+    /// A new connection, which cannot carry a late response to an earlier request.
     Fresh,
 }
 
@@ -88,7 +88,7 @@
     reusable: bool,
 }
 
-/// Ends a connection's task, and with it the connection, when dropped.
+/// Aborts the task that drives a connection, and so closes the connection, when dropped.
 #[derive(Debug)]
 struct DriverGuard(AbortHandle);
 
@@ -101,12 +101,12 @@
 #[derive(Debug)]
 struct IdleConnection {
     held: ActiveConnection,
-    /// When it brought an answer last.
+    /// When its last response was complete.
     since: Instant,
     until: Instant,
 }
 
-/// Connections to any number of addresses.
+/// A pool of connections to any number of addresses.
 #[derive(Debug, Default)]
 pub struct Connections {
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
@@ -117,7 +117,7 @@
         self.idle.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// A connection to `address` that is up within `time`, and whether it is new.
+    /// Returns a connection to `address`, established within `time`, and whether it is new.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -148,7 +148,7 @@
         None
     }
 
-    /// Lets a connection rest whose answer has been read to its end.
+    /// Returns a connection to the pool after its response has been read completely.
     pub fn release(&self, held: ActiveConnection) {
         if !held.reusable || held.sender.is_closed() {
             return;
@@ -162,18 +162,18 @@
         }
     }
 
-    /// Closes what rests for `address` and has brought no answer since `begun`, when a call began
-    /// that was met with silence on a kept connection.
+    /// Closes idle connections to `address` without a response since `started`, when a call started that
+    /// timed out on a reused connection.
     ///
-    /// Open connections may go silent for good, all at once, while new ones work: each of those that
-    /// rested would be found out by a call of its own, which is lost.
+    /// All open connections may be dropped at once without being closed, while new ones work. Without this,
+    /// each of the idle ones would cost a lost call to detect.
     pub fn close_stale(&self, address: SocketAddr, started: Instant) {
         if let Some(connections) = self.lock().get_mut(&address) {
             connections.retain(|one| one.since > started);
         }
     }
 
-    /// Closes what rests for addresses that are not wanted any more, or has rested too long.
+    /// Closes idle connections that have expired or whose address is not `wanted`.
     pub fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -183,7 +183,7 @@
         });
     }
 
-    /// Sends a request and reads the whole answer, within `time` and up to `most` bytes.
+    /// Sends a request and reads the whole response, within `time` and up to `most` bytes.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -232,7 +232,7 @@
     }
 }
 
-/// A request of headlatch's own to an outside system.
+/// A request that headlatch itself sends to an external system.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
     /// Method.
@@ -243,11 +243,11 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// The connection is closed after the answer.
+    /// Whether a new connection is used and closed after the response.
     pub closes: bool,
-    /// Time without a byte after which the answer is given up; none for the whole time of the call.
+    /// Time without received data after which the call is aborted; the time limit of the call if none.
     pub silence: Option<Duration>,
-    /// Is told what has come of the answer's body.
+    /// Counts the bytes received of the response body.
     pub progress: ByteProgress,
 }
 
@@ -265,28 +265,28 @@
         }
     }
 
-    /// The same path by another method, with headers and a body.
+    /// Sets the method, headers and body.
     pub fn sending(self, method: Method, headers: HeaderMap, body: Bytes) -> Self {
         Self { method, headers, body, ..self }
     }
 
-    /// The same over a connection of its own, which is closed after the answer.
+    /// Uses a new connection, which is closed after the response.
     pub fn closing(self) -> Self {
         Self { closes: true, ..self }
     }
 
-    /// The same, given up when nothing has come for `silence`.
+    /// Aborts the call when no data is received for `silence`.
     pub fn with_idle_timeout(self, silence: Duration) -> Self {
         Self { silence: Some(silence), ..self }
     }
 
-    /// The same, with `progress` being told what has come of the answer.
+    /// Counts the bytes received of the response body in `progress`.
     pub fn with_progress(self, progress: ByteProgress) -> Self {
         Self { progress, ..self }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct CallResponse {
     /// Status.
@@ -305,7 +305,7 @@
     tokio::time::timeout(silence, step).await.map_err(silent)
 }
 
-/// Reads a body to its end; it may be long in coming, but not silent for `silence`.
+/// Reads a body to its end; fails if no data is received for `silence`, however long the whole takes.
 async fn read_to_end(
     mut body: Limited<Incoming>,
     silence: Duration,
@@ -328,14 +328,14 @@
         refused: error.kind() == std::io::ErrorKind::ConnectionRefused,
         ..failure(format!("{address}: {error}"))
     })?;
-    // Without it small writes wait for acknowledgements; a failure only costs time.
+    // Avoids the delay of small writes by Nagle's algorithm; a failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|error| failure(error.to_string()))?;
     let task = tokio::spawn(async move {
-        // What goes wrong is told to whoever waits for the answer.
+        // Errors are reported to the task that waits for the response.
         let _ = connection.await;
     });
     let driver = DriverGuard(task.abort_handle());
@@ -349,7 +349,7 @@
 }
 
 impl ActiveConnection {
-    /// Sends a request and returns the answer's head with its body to come.
+    /// Sends a request and returns the response with its body still to be read.
     pub async fn send(
         &mut self,
         method: Method,
@@ -366,7 +366,10 @@
         *request.headers_mut() = headers;
         let sent = self.sender.try_send_request(request).await;
         let answer = sent.map_err(|mut error| match error.take_message() {
-            Some(_) => ExchangeError::not_sent("the connection had closed", false),
+            Some(_) => ExchangeError::not_sent(
+                "the connection was closed before the request was sent",
+                false,
+            ),
             None => ExchangeError::lost(error.error().to_string()),
         })?;
         self.update_keep_alive(answer.headers());
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP shells of headlatch: a server that drains and limits, a client that tells what ran.
+//! HTTP server and clients of headlatch: the server enforces limits and drains on shutdown, the clients report
+//! whether a failed request may have run.
 
 pub mod client;
 pub mod connections;
--- a/crates/http/src/pace.rs
+++ b/crates/http/src/pace.rs
@@ -1,17 +1,17 @@
-//! Links with a rate: whoever sends on one waits for its turn.
+//! Pacing of senders to the rate of a link.
 
 use std::{sync::Mutex, time::Duration};
 
 use headlatch_types::quantity::{ByteRate, ByteSize};
 use tokio::time::Instant;
 
-/// Bytes that are sent in one turn, so that several senders share a link evenly.
+/// Bytes that are sent at a time, so that several senders share a link evenly.
 pub const TURN_BYTES: usize = 32 << 10;
 
-/// Longest time for which a link that was idle may be used ahead.
+/// Largest burst after an idle period, as transmission time.
 const BURST_TIME: Duration = Duration::from_millis(4);
 
-/// One way of a link.
+/// Pacer for one direction of a link.
 #[derive(Debug)]
 pub struct LinkPacer {
     rate: ByteRate,
@@ -19,7 +19,7 @@
 }
 
 impl LinkPacer {
-    /// A link of `rate`.
+    /// A pacer for a link of `rate`.
     pub fn new(rate: ByteRate) -> Self {
         Self { rate, free_at: Mutex::new(None) }
     }
@@ -29,13 +29,14 @@
         self.rate
     }
 
-    /// Waits until `bytes` bytes have been sent.
+    /// Reserves the link for `bytes` bytes and waits until they would have been sent.
     pub async fn send(&self, bytes: usize) {
         let until = self.reserve(bytes);
         tokio::time::sleep_until(until).await;
     }
 
-    /// Waits until what was handed to the link before has been sent, so that nothing queues below.
+    /// Reserves the link for `bytes` bytes and waits until earlier reservations have been sent, so that no
+    /// queue builds up in lower layers.
     pub async fn wait_until_free(&self, bytes: usize) {
         let until = self.reserve(bytes);
         let took = self.rate.time_for(ByteSize::from_bytes(bytes as u64));
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! A server around a `volo_http` router: limits, and stops that cut nothing off.
+//! An HTTP server for a `volo_http` router, with limits and graceful shutdown.
 //!
-//! `volo_http::server::Server` takes signals itself, has no stop of its own and gives up on
-//! busy connections after half a minute; this loop hands the same router its requests instead.
+//! `volo_http::server::Server` is not used because it handles signals itself, cannot be stopped by its caller
+//! and drops busy connections after 30 s.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,19 +25,19 @@
 
 use crate::stop::StopSignal;
 
-/// Pause after a failed `accept`, so that a lack of file descriptors does not spin.
+/// Pause after a failed `accept`, so that the loop does not spin when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Limits of one listener.
 #[derive(Debug, Clone)]
 pub struct HttpLimits {
-    /// Largest head of a request; raised to 8 KiB, the least that hyper takes.
+    /// Largest head of a request; values below 8 KiB, hyper's minimum, are raised to it.
     pub head: ByteSize,
-    /// Time a caller has to send its head.
+    /// Timeout for receiving the head of a request.
     pub head_time: Duration,
-    /// Connections held at the same time; further ones wait to be accepted.
+    /// Largest number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time a stop waits for requests in progress.
+    /// Drain time for requests in progress on shutdown.
     pub drain: Duration,
 }
 
@@ -85,12 +85,12 @@
             let watched = shutdown.watch(connection);
             tokio::spawn(async move {
                 let _permit = permit;
-                // A caller that goes away is no error of ours.
+                // A disconnecting caller is not an error of the server.
                 let _ = watched.await;
             });
         }
         drop(self.listener);
-        // Past the drain whatever is left has had its time.
+        // Requests still in progress after the drain time are aborted.
         let _ = tokio::time::timeout(self.limits.drain, shutdown.shutdown()).await;
     }
 }
@@ -102,12 +102,12 @@
     let permit = permits.clone().acquire_owned().await.ok()?;
     match listener.accept().await {
         Ok((stream, peer)) => {
-            // Without it small frames wait for acknowledgements; a failure only costs time.
+            // Avoids the delay of small writes by Nagle's algorithm; a failure only costs latency.
             let _ = stream.set_nodelay(true);
             Some((stream, peer, permit))
         }
         Err(error) => {
-            log::warn!("http: accept failed, {error}");
+            log::warn!("http: accept failed: {error}");
             tokio::time::sleep(ACCEPT_PAUSE).await;
             None
         }
@@ -141,17 +141,17 @@
     }
 }
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than allowed, announced or not.
+    /// It exceeds the size limit, whether or not its length was announced.
     #[error("the body is longer than allowed")]
     TooLong,
-    /// It did not come in time.
-    #[error("the body did not come in time")]
+    /// It was not received in time.
+    #[error("the body was not received in time")]
     TooSlow,
-    /// The sender broke off.
-    #[error("the body broke off")]
+    /// The sender closed the connection before the end.
+    #[error("the connection closed before the end of the body")]
     Broken,
 }
 
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/stall.rs
@@ -1,4 +1,4 @@
-//! Ends connections whose other side has stopped reading.
+//! Write timeout for connections whose peer has stopped reading.
 
 use std::{
     future::Future,
@@ -13,23 +13,23 @@
     time::{Sleep, sleep},
 };
 
-/// A stream whose writes fail once its reader has taken nothing for some time. Without it an answer that
-/// nobody reads holds its buffers, and the connection that it comes from, for as long as the reader likes.
+/// A stream whose writes fail once the peer has read nothing for the timeout. Without it, a response that the
+/// peer does not read would hold its buffers and its upstream connection indefinitely.
 #[derive(Debug)]
 pub struct StallGuard<S> {
     stream: S,
     timeout: Duration,
-    /// Runs while a write waits.
+    /// Set while a write is pending.
     deadline: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> StallGuard<S> {
-    /// Guards `stream`; a write may wait for `patience`.
+    /// Guards `stream`; a write may be pending for `timeout`.
     pub fn new(stream: S, timeout: Duration) -> Self {
         Self { stream, timeout, deadline: None }
     }
 
-    /// Has a write that waits fail when its time is over.
+    /// Fails a pending write once the timeout has passed.
     fn guard<T>(
         &mut self,
         context: &mut Context<'_>,
@@ -44,7 +44,10 @@
         match deadline.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => {
-                let message = format!("nothing was read for {} ms", timeout.as_millis());
+                let message = format!(
+                    "write timed out: the peer read nothing for {} ms",
+                    timeout.as_millis()
+                );
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, message)))
             }
         }
--- a/crates/http/src/stop.rs
+++ b/crates/http/src/stop.rs
@@ -1,12 +1,12 @@
-//! Planned stops.
+//! Shutdown signal.
 
 use tokio::sync::watch;
 
-/// Asks every holder of the signal to stop.
+/// Requests a shutdown of every holder of the signal.
 #[derive(Debug, Clone)]
 pub struct StopHandle(watch::Sender<bool>);
 
-/// Tells when a stop has been asked for.
+/// Receives the shutdown request.
 #[derive(Debug, Clone)]
 pub struct StopSignal(watch::Receiver<bool>);
 
@@ -17,26 +17,26 @@
         (Self(sender), StopSignal(receiver))
     }
 
-    /// Asks for a stop.
+    /// Requests a shutdown.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 
-    /// A further signal.
+    /// A new receiver of the shutdown request.
     pub fn signal(&self) -> StopSignal {
         StopSignal(self.0.subscribe())
     }
 }
 
 impl StopSignal {
-    /// Whether a stop has been asked for.
+    /// Whether a shutdown was requested.
     pub fn is_stopped(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Waits until a stop is asked for, or its handle is gone.
+    /// Waits until a shutdown is requested or the handle is dropped.
     pub async fn stopped(&mut self) {
-        // An error means that the handle is gone, which is a stop as well.
+        // An error means that the handle was dropped, which counts as a shutdown request.
         let _ = self.0.wait_for(|stopped| *stopped).await;
     }
 }
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,4 +1,4 @@
-//! Limits and planned stops of the HTTP server, over real sockets.
+//! Limits and graceful shutdown of the HTTP server, over real sockets.
 
 use std::{
     net::SocketAddr,
@@ -86,7 +86,7 @@
 async fn a_head_that_drips_is_closed() {
     let limits = HttpLimits { head_time: Duration::from_millis(100), ..HttpLimits::default() };
     let (address, _stop, _task) = start(echo(), limits).await;
-    // Never finished; the read ends because the server closes.
+    // The head is never completed; the read ends because the server closes the connection.
     let answer = exchange(address, "GET / HTTP/1.1\r\nhost:").await;
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
--- a/crates/http/tests/silent_connections.rs
+++ b/crates/http/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections that go silent for good, while new ones work.
+//! Reused connections that stop responding without being closed, while new connections work.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,13 +6,12 @@
 use headlatch_http::{CallRequest, Connections};
 use headlatch_standins::half_deaf::HalfDeafServer;
 
-/// Time of a whole call: far more than these tests take, so that only silence ends one.
+/// Time limit of a whole call, far above the duration of these tests, so that only the idle timeout applies.
 const CALL_TIME: Duration = Duration::from_secs(60);
 
-/// Silence after which a call is given up.
+/// Idle timeout of a call.
 const SILENCE: Duration = Duration::from_secs(2);
 
-/// Largest answer.
 const MOST: usize = 1 << 10;
 
 fn answer(_head: &str) -> Vec<u8> {
@@ -24,7 +23,7 @@
     connections.call(address, request, MOST, CALL_TIME).await.is_ok()
 }
 
-/// One call is lost to find out; the others that rested must not take a call each.
+/// A single lost call must be enough to discard all idle connections that stopped responding.
 #[gtest]
 #[tokio::test]
 async fn a_silent_connection_takes_down_those_that_rest_beside_it() {
@@ -42,7 +41,7 @@
     }
 }
 
-/// A connection that has answered since the lost call was sent is kept.
+/// A connection that has responded since the lost call was sent stays in the pool.
 #[gtest]
 #[tokio::test]
 async fn a_connection_that_has_answered_meanwhile_is_kept() {
@@ -59,5 +58,5 @@
     let (lost, other) = futures_util::future::join(lost, other).await;
     expect_that!((lost, other), eq((false, true)));
     expect_that!(call(&connections, address).await, eq(true));
-    expect_that!(server.accepted(), eq(2), "nothing is opened in vain");
+    expect_that!(server.accepted(), eq(2), "no unnecessary connection is opened");
 }
--- a/crates/outside/src/engine.rs
+++ b/crates/outside/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines that take weights piece by piece, and the origin of those pieces.
+//! Model engines to which weights are uploaded in pieces, and the origin of those pieces.
 
 use std::{fmt, net::SocketAddr};
 
@@ -10,24 +10,24 @@
 
 use crate::OutsideFuture;
 
-/// Number of orders that an engine has begun since its start.
+/// Number of orders that an engine has started to execute since its own start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderSequence(pub u64);
 
-/// What an engine says of itself.
+/// Status report of an engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StageReport {
-    /// This start of it, if it tells that.
+    /// Start time of the engine, if it reports one.
     pub started_at: Option<StartTime>,
     /// Models that it holds.
     pub models: Vec<HeldModel>,
-    /// Whether an order is under way.
+    /// Whether an order is being executed.
     pub busy: bool,
-    /// Orders that it has begun.
+    /// Number of orders started.
     pub sequence: OrderSequence,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     pub active: u32,
 }
 
@@ -56,94 +56,94 @@
     pub digests: Vec<PieceDigest>,
 }
 
-/// What becomes of requests that run when an order changes the weights.
+/// Handling of running requests when an order changes the weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RunningRequests {
-    /// They end first; nothing new is taken meanwhile.
+    /// They are completed first; no new request is accepted meanwhile.
     #[default]
     Finish,
-    /// They are cut, to be continued elsewhere.
+    /// They are interrupted, to be resumed on another server.
     Cut,
 }
 
-/// An order to start with the layers that lie in the stage.
+/// An order to load the staged layers and serve them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: WeightVersion,
-    /// Higher than that of any order before it.
+    /// Fencing token; higher than that of any earlier order.
     pub fence: u64,
-    /// Orders that the engine must have begun.
+    /// Number of orders that the engine must have started, or it rejects this one.
     pub expected: OrderSequence,
-    /// What becomes of requests that run.
+    /// Handling of running requests.
     pub running: RunningRequests,
 }
 
-/// What became of an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It has begun.
+    /// Execution has started.
     Begun,
-    /// It holds already.
+    /// The engine already holds the ordered version.
     Holds,
-    /// It does not fit the engine's state.
+    /// The order conflicts with the state of the engine.
     Conflict,
-    /// The engine has seen a higher fence.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// The engine refuses it for another reason.
+    /// The engine rejected it with this status.
     Refused(u16),
 }
 
-/// Why a call brought nothing.
+/// Why a call to an engine or origin failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StageFailure {
-    /// There is no such thing there.
-    #[error("it is not there")]
+    /// The model, version or piece does not exist there.
+    #[error("not found")]
     Absent,
-    /// The version is no longer handed out.
-    #[error("the version is no longer handed out")]
+    /// The version is no longer available.
+    #[error("the version is no longer available")]
     Superseded,
-    /// It has too much to do.
-    #[error("it has too much to do")]
+    /// The server is overloaded.
+    #[error("the server is overloaded")]
     Busy,
-    /// No answer, or none that can be read; an order may have been taken.
+    /// No response, or one that cannot be decoded; an order may have been accepted.
     #[error("no answer: {0}")]
     Unreachable(String),
 }
 
-/// The stage and orders of the engine on this machine.
+/// Access to the staging area and orders of the engine on this box.
 pub trait EngineStage: Send + Sync + fmt::Debug {
-    /// What the engine says of itself.
+    /// Reads the engine's status report.
     fn report(&self) -> OutsideFuture<'_, Result<StageReport, StageFailure>>;
-    /// Lays a piece into the stage.
+    /// Uploads a piece to the staging area.
     fn put<'a>(
         &'a self,
         model: &'a ModelName,
         piece: u32,
         data: Bytes,
     ) -> OutsideFuture<'a, Result<(), StageFailure>>;
-    /// Reads a piece back.
+    /// Reads a piece back from the staging area.
     fn get<'a>(
         &'a self,
         model: &'a ModelName,
         piece: u32,
     ) -> OutsideFuture<'a, Result<Bytes, StageFailure>>;
-    /// Gives an order.
+    /// Sends an order.
     fn start(&self, order: StartOrder) -> OutsideFuture<'_, Result<OrderAnswer, StageFailure>>;
 }
 
 /// The origin of weights.
 pub trait PieceOrigin: Send + Sync + fmt::Debug {
-    /// The manifest of a version.
+    /// Fetches the manifest of a version.
     fn manifest<'a>(
         &'a self,
         origin: SocketAddr,
         model: &'a ModelName,
         version: WeightVersion,
     ) -> OutsideFuture<'a, Result<PieceManifest, StageFailure>>;
-    /// The bytes of a piece, not verified.
+    /// Fetches a piece without verifying it.
     fn piece<'a>(
         &'a self,
         origin: SocketAddr,
--- a/crates/outside/src/facts.rs
+++ b/crates/outside/src/facts.rs
@@ -1,4 +1,4 @@
-//! The store of facts: plan, servers and wanted weights.
+//! Interface to the store that holds the plan, the servers, the target versions and the evacuations.
 
 use std::{fmt, time::Duration};
 
@@ -27,14 +27,14 @@
     Plan,
     /// The servers.
     Servers,
-    /// The versions of weights that are wanted.
+    /// The target versions of weights.
     Weights,
-    /// The failure domains that are being emptied.
+    /// The failure domains that are being evacuated.
     Evacuations,
 }
 
 impl FactTopic {
-    /// The word used in logs and metrics.
+    /// The value used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Plan => "plan",
@@ -52,9 +52,9 @@
     Plan(Box<TrafficPlan>),
     /// A server.
     Server(ServerRecord),
-    /// A wanted version.
+    /// A target version.
     Weights(TargetWeights),
-    /// A failure domain that is being emptied.
+    /// A failure domain that is being evacuated.
     Evacuation(DomainId),
 }
 
@@ -74,28 +74,28 @@
 pub struct FactList {
     /// The facts.
     pub facts: Vec<NamedFact>,
-    /// Revision that the list is of.
+    /// Revision of the list.
     pub at: StoreRevision,
 }
 
 /// One change.
 #[derive(Debug, Clone)]
 pub enum FactChange {
-    /// A fact is new or has changed.
+    /// A fact was added or changed.
     Set(NamedFact),
-    /// A fact is gone.
+    /// A fact was deleted.
     Gone {
         /// Its name among those of its topic.
         name: String,
-        /// Revision at which it went, or of its last change where the store does not tell that.
+        /// Revision of the deletion, or of the last change if the store does not report it.
         revision: StoreRevision,
     },
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Debug, Clone)]
 pub struct FactChanges {
-    /// The changes in order; none if nothing changed in time.
+    /// The changes in order; empty if nothing changed within the wait time.
     pub changes: Vec<FactChange>,
     /// Revision to watch from next.
     pub at: StoreRevision,
@@ -104,33 +104,33 @@
 /// Whether a list may be a few seconds old.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Freshness {
-    /// It must be of now.
+    /// It must be current.
     #[default]
     Current,
-    /// It may be old, which costs the store less.
+    /// It may be stale, which is cheaper for the store.
     MayBeOld,
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFailure {
-    /// The history that was asked for is no longer there.
+    /// The requested revision is older than the history that the store keeps.
     #[error("the store no longer has that history")]
     HistoryGone,
-    /// The store refuses calls for now.
+    /// The store rejected the call.
     #[error("the store refuses for now: {0}")]
     Refused(String),
-    /// The store cannot be reached or broke off.
+    /// The store could not be reached, or the connection was lost.
     #[error("the store does not answer: {0}")]
     Unreachable(String),
-    /// The store answered something that is no answer.
+    /// The response of the store could not be decoded.
     #[error("the store's answer cannot be read: {0}")]
     Unreadable(String),
 }
 
 /// Lists and watches facts.
 pub trait FactStore: Send + Sync + fmt::Debug {
-    /// All facts of a topic; `progress` is told what has come of them.
+    /// Lists all facts of a topic; `progress` counts the bytes received.
     fn list(
         &self,
         topic: FactTopic,
@@ -138,8 +138,8 @@
         progress: ByteProgress,
     ) -> OutsideFuture<'_, Result<FactList, StoreFailure>>;
 
-    /// Changes of a topic after `after`, as soon as there are any, within `wait`; `progress` is told
-    /// what has come of them.
+    /// Waits up to `wait` for changes of a topic after revision `after`; `progress` counts the bytes
+    /// received.
     fn watch(
         &self,
         topic: FactTopic,
--- a/crates/outside/src/headers.rs
+++ b/crates/outside/src/headers.rs
@@ -1,4 +1,4 @@
-//! What the heads of requests and answers say, apart from HTTP's own headers.
+//! Metadata in the headers of requests and responses, apart from HTTP's own headers.
 
 use std::{fmt, time::Duration};
 
@@ -8,39 +8,39 @@
 };
 use http::{HeaderMap, HeaderName, StatusCode};
 
-/// What a request's head says.
+/// Metadata from the headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Its id, exactly as it came.
+    /// Request id, unchanged.
     pub id: Option<String>,
-    /// Time for which the caller waits.
+    /// Time until the caller's deadline.
     pub deadline: Option<Duration>,
-    /// The key that the caller shows.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: Option<u64>,
-    /// Most tokens of the answer.
+    /// Largest number of completion tokens.
     pub answer_tokens: Option<u64>,
-    /// The last event of a stream that the caller has.
+    /// Last event of a stream that the caller received.
     pub last_event: Option<u64>,
-    /// The model that it names.
+    /// Model that the request names.
     pub model: Option<String>,
 }
 
-/// What a request to a server says besides what the caller sent.
+/// Metadata that is added to a request before it is forwarded to a server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ForwardMetadata {
-    /// Time that is left.
+    /// Remaining time until the deadline.
     pub deadline: Option<Duration>,
-    /// The server that it is meant for.
+    /// Server that the request is addressed to.
     pub server: Option<ServerId>,
     /// Name of the caller's tenant.
     pub tenant: Option<String>,
-    /// The last event that has been passed on.
+    /// Last event that was forwarded to the caller.
     pub last_event: Option<u64>,
-    /// The version of weights that must answer.
+    /// Version of the weights that must be used.
     pub version: Option<WeightVersion>,
-    /// Rank among the requests at the server; 0 is the most urgent.
+    /// Priority at the server; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
@@ -50,43 +50,43 @@
     /// The header is missing.
     #[default]
     Absent,
-    /// Its value.
+    /// The parsed value.
     Valid(T),
-    /// It is there, but its value cannot be parsed.
+    /// The header is present, but its value cannot be parsed.
     Malformed,
 }
 
-/// What an answer's head says.
+/// Metadata from the headers of a response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// The id of the request that it answers.
+    /// Id of the request.
     pub id: Option<String>,
     /// The server states that it did not run the request.
     pub not_run: bool,
-    /// Another server has the address, or it holds other weights.
+    /// The address belongs to a different server, or the server holds different weights.
     pub misdirected: bool,
-    /// The answer is signed by a server.
+    /// The response carries the stamp of a server.
     pub signed: bool,
     /// Rate limit of the server, for all entries together.
     pub rate_limit: ParsedHeader<RequestRate>,
     /// The server is draining.
     pub draining: ParsedHeader<bool>,
-    /// Time for which the server, which refused the request, wants no other from this entry.
+    /// Time for which a server that refused the request asks this entry to send no further requests.
     pub retry_after: ParsedHeader<Duration>,
 }
 
-/// The headers in which one platform says these things.
+/// Header format of a platform.
 pub trait HeaderFormat: Send + Sync + fmt::Debug {
-    /// Reads a request's head.
+    /// Reads the metadata of a request.
     fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
-    /// Takes out of a request's head what servers must not see, and adds what they must.
+    /// Removes headers that servers must not receive from a request, and sets those that they need.
     fn write_request(&self, headers: &mut HeaderMap, facts: &ForwardMetadata);
-    /// Reads an answer's head.
+    /// Reads the metadata of a response.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
-    /// Names of headers in an answer that neither HTTP nor this form defines.
+    /// Names of response headers that neither HTTP nor this format defines.
     fn unknown_response_headers(&self, _headers: &HeaderMap) -> Vec<HeaderName> {
         Vec::new()
     }
-    /// Marks an answer of our own as belonging to a request.
+    /// Sets the request id on a response that headlatch itself generates.
     fn write_answer(&self, headers: &mut HeaderMap, request: &str);
 }
--- a/crates/outside/src/lib.rs
+++ b/crates/outside/src/lib.rs
@@ -1,7 +1,7 @@
-//! What headlatch asks of the systems around it.
+//! Interfaces to the external systems that headlatch depends on.
 //!
-//! An adapter implements these traits for one outside platform. It only translates: decisions,
-//! retries and state stay with the callers of these traits.
+//! An adapter implements these traits for one platform. It only translates between formats; decisions,
+//! retries and state belong to the callers of the traits.
 
 pub mod engine;
 pub mod facts;
@@ -10,5 +10,5 @@
 
 use std::{future::Future, pin::Pin};
 
-/// A future that a trait object returns.
+/// A boxed future, returned by methods of trait objects.
 pub type OutsideFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
--- a/crates/outside/src/quarantine.rs
+++ b/crates/outside/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Where it is kept which requests are refused because servers ended under them: all entries may be
-//! killed at once, and none has a disk.
+//! Persistent list of quarantined requests, which are refused because they crashed servers. It is kept in an
+//! external store because all entries may be killed at once and none has a disk.
 
 use std::fmt;
 
@@ -7,27 +7,27 @@
 
 use crate::{OutsideFuture, facts::StoreFailure};
 
-/// A time of day, in milliseconds of the Unix epoch.
+/// A point in time, in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnixMillis(pub u64);
 
-/// A request that is refused.
+/// A quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineEntry {
     /// The request.
     pub digest: RequestDigest,
-    /// Until when it is refused.
+    /// End of the quarantine.
     pub until: UnixMillis,
 }
 
-/// Keeps which requests are refused.
+/// Stores quarantined requests.
 pub trait QuarantineStore: Send + Sync + fmt::Debug {
-    /// All that are kept; what cannot be read is left out.
+    /// Lists all quarantined requests; unreadable entries are skipped.
     fn list_quarantines(&self) -> OutsideFuture<'_, Result<Vec<QuarantineEntry>, StoreFailure>>;
 
-    /// Keeps one, in place of what was kept of the same request.
+    /// Stores an entry; replaces an existing one for the same request.
     fn keep(&self, quarantine: QuarantineEntry) -> OutsideFuture<'_, Result<(), StoreFailure>>;
 
-    /// Keeps one no longer; it may not be there.
+    /// Deletes an entry; no error if it does not exist.
     fn lift(&self, digest: RequestDigest) -> OutsideFuture<'_, Result<(), StoreFailure>>;
 }
--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of 32 bytes: BLAKE3 of headlatch's own, SHA-256 where others publish those.
+//! Digests of 32 bytes: BLAKE3 for headlatch's own manifests, SHA-256 for weights published with those.
 
 use std::{fmt, str::FromStr};
 
@@ -21,7 +21,7 @@
         Self(*blake3::hash(data).as_bytes())
     }
 
-    /// The SHA-256 digest of `data`, for weights whose publisher gives those.
+    /// The SHA-256 digest of `data`, for weights published with SHA-256 digests.
     pub fn sha256(data: &[u8]) -> Self {
         Self(Sha256::digest(data).into())
     }
@@ -31,18 +31,18 @@
         &self.0
     }
 
-    /// The first 8 bytes as a number, for tables and hashing.
+    /// The first 8 bytes as a little-endian number, for use as a hash key.
     pub fn key(&self) -> u64 {
         u64::from_le_bytes(self.0[..8].try_into().expect("a digest has 32 bytes"))
     }
 
-    /// The first 8 hexadecimal digits, for people.
+    /// The first 8 hexadecimal digits, for logs and messages.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
 }
 
-/// The first 8 bytes of the digest of `data`, as a number.
+/// The hash key of `data`: the first 8 bytes of its BLAKE3 digest.
 pub fn key_of(data: &[u8]) -> u64 {
     Digest::of(data).key()
 }
@@ -95,10 +95,10 @@
     }
 }
 
-/// How the digests of chunks are made.
+/// Hash function of chunk digests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum DigestKind {
-    /// BLAKE3, headlatch's own.
+    /// BLAKE3, used by headlatch's own manifests.
     #[default]
     Blake3,
     /// SHA-256.
--- a/crates/types/src/direct_settings.rs
+++ b/crates/types/src/direct_settings.rs
@@ -1,4 +1,5 @@
-//! Settings of daemons that call servers directly and take facts from an outside store.
+//! Settings of daemons in direct mode, which call servers without an agent in between and read plan and
+//! servers from an external store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,40 +16,39 @@
     settings::{LinkSettings, NodeSettings, RawEndpoint, RawSettings},
 };
 
-/// What direct mode needs, as written in JSON.
+/// Settings of direct mode, as written in JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDirect {
-    /// Region of each zone.
+    /// Region of each failure domain.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Machines where other processes may be found; the port is `control`'s.
+    /// Addresses of other headlatch processes; the port is replaced by that of `control`.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// Retries that all entries together may send.
+    /// Retry budget of all entries together.
     #[serde(default)]
     pub retry: RawRetry,
-    /// Time in which all servers change to new weights, in milliseconds.
+    /// Time in which all servers should switch to new weights, in milliseconds.
     #[serde(default = "default_weights_ms")]
     pub weights_ms: u64,
-    /// Time after which a failure domain that is to be emptied gets nothing new, in milliseconds; left out,
-    /// failure domains are not emptied on order, and the store is not asked for that.
+    /// Time after which a failure domain that is being evacuated receives no new requests, in milliseconds.
+    /// If left out, evacuations are disabled and not read from the store.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuate_ms: Option<u64>,
-    /// Memory that the process may take: bodies of requests take a fifth of it at most, those of answers as
-    /// much.
+    /// Memory limit of the process. Request bodies and response bodies may each use a fifth of it.
     #[serde(default = "default_memory")]
     pub memory: ByteSize,
-    /// Time for which a caller may take nothing of its answer before its connection is closed, in
+    /// Time without progress in reading a response after which a caller's connection is closed, in
     /// milliseconds.
     #[serde(default = "default_stall_ms")]
     pub stall_ms: u64,
-    /// The whole system starts for the first time: nobody waits for it yet, so that processes find
+    /// Whether the whole system starts for the first time. No caller waits yet, so the processes discover
     /// each other before they read the store.
     #[serde(default)]
     pub first_start: bool,
-    /// Processes up to which everybody tells everybody; beyond, two entries of each failure domain
-    /// relay.
+    /// Largest number of processes that exchange state in a full mesh; above it, two entries of each failure
+    /// domain relay.
     #[serde(default = "default_mesh_limit")]
     pub mesh_limit: usize,
     /// Address for metrics; none if left out.
@@ -56,15 +56,15 @@
     pub metrics: Option<String>,
 }
 
-/// Retries that all entries together may send to one service.
+/// Retry budget that all entries share, per service.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawRetry {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries besides.
+    /// Retries allowed per window in addition to `ratio`.
     pub slack: f64,
-    /// Window in which both are counted, in seconds.
+    /// Length of the window in which requests and retries are counted, in seconds.
     pub window_seconds: f64,
 }
 
@@ -74,17 +74,18 @@
     }
 }
 
-/// Least time in which a failure domain is to get nothing new, in milliseconds.
+/// Smallest accepted `evacuate_ms`: a change in the store takes this long to reach all entries.
 const MIN_EVACUATE_MS: u64 = 4_000;
 
-/// Least memory that a process runs in.
+/// Smallest accepted memory limit.
 const MIN_MEMORY: ByteSize = ByteSize::from_mib(16);
 
 fn default_memory() -> ByteSize {
     ByteSize::from_mib(256)
 }
 
-/// Longer than usual deadlines: who reads slowly is not cut off by it, who reads nothing is.
+/// Longer than usual request deadlines, so that it closes connections of callers that read nothing, but not of
+/// callers that read slowly.
 fn default_stall_ms() -> u64 {
     10_000
 }
@@ -93,31 +94,31 @@
     30_000
 }
 
-/// Beyond this many processes a mesh takes more processor time than control may.
+/// Above this many processes, a full mesh exceeds the CPU time allowed for control traffic.
 fn default_mesh_limit() -> usize {
     96
 }
 
-/// What direct mode needs, checked.
+/// Settings of direct mode, checked.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
-    /// Region of each zone.
+    /// Region of each failure domain.
     pub zones: HashMap<DomainId, RegionId>,
-    /// Where other processes may be found.
+    /// Addresses of other headlatch processes.
     pub seeds: Vec<SocketAddr>,
-    /// Retries that all entries together may send.
+    /// Retry budget of all entries together.
     pub retry: RawRetry,
-    /// Time in which all servers change to new weights.
+    /// Time in which all servers should switch to new weights.
     pub weights_time: Duration,
-    /// Memory that the process may take.
+    /// Memory limit of the process.
     pub memory: ByteSize,
-    /// Time for which a caller may take nothing of its answer.
+    /// Time without progress in reading a response after which a caller's connection is closed.
     pub stall: Duration,
-    /// Failure domains may be ordered to be emptied.
+    /// Whether evacuations of failure domains are read from the store.
     pub reads_evacuations: bool,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// Processes up to which everybody tells everybody.
+    /// Largest number of processes that exchange state in a full mesh.
     pub mesh_limit: usize,
     /// Address for metrics.
     pub metrics: Option<SocketAddr>,
@@ -126,26 +127,26 @@
 /// Settings of an entry that calls servers directly.
 #[derive(Debug, Clone)]
 pub struct DirectEntrySettings {
-    /// What every node has.
+    /// Settings common to all nodes.
     pub node: NodeSettings,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Direct mode.
+    /// Settings of direct mode.
     pub direct: DirectSettings,
 }
 
 /// Settings of an agent that stages weights piece by piece.
 #[derive(Debug, Clone)]
 pub struct DirectAgentSettings {
-    /// What every node has.
+    /// Settings common to all nodes.
     pub node: NodeSettings,
-    /// Address of the server on this machine.
+    /// Address of the server on this box.
     pub server: SocketAddr,
-    /// The service it belongs to, if that is known.
+    /// Service that the server belongs to, if known.
     pub service: Option<String>,
-    /// This machine's link.
+    /// Link of this box.
     pub link: LinkSettings,
-    /// Direct mode.
+    /// Settings of direct mode.
     pub direct: DirectSettings,
 }
 
@@ -177,15 +178,15 @@
         return Err(InputError::new(format!("direct.retry.{name}"), message));
     }
     if raw.weights_ms == 0 {
-        let message = "0 leaves no time to change weights; give milliseconds";
+        let message = "0 leaves no time to change weights; give 1 ms or more";
         return Err(InputError::new("direct.weights_ms", message));
     }
     if raw.memory < MIN_MEMORY {
-        let message = format!("{} is too little to run in; give {MIN_MEMORY} or more", raw.memory);
+        let message = format!("{} is too little memory; give {MIN_MEMORY} or more", raw.memory);
         return Err(InputError::new("direct.memory", message));
     }
     if raw.stall_ms == 0 {
-        let message = "0 leaves callers no time to read; give milliseconds";
+        let message = "0 leaves callers no time to read; give 1 ms or more";
         return Err(InputError::new("direct.stall_ms", message));
     }
     if let Some(millis) = raw.evacuate_ms.filter(|millis| *millis < MIN_EVACUATE_MS) {
--- a/crates/types/src/fleet.rs
+++ b/crates/types/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet file: what should run where, checked as a whole.
+//! The fleet file: which models and services run where. It is checked as a whole.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -11,10 +11,10 @@
     verdict::Repeatability,
 };
 
-/// Most replicas one domain may be asked to run of one model.
+/// Largest number of replicas of one model in one failure domain.
 pub const MAX_REPLICAS: u32 = 10_000;
 
-/// Largest fleet file, in bytes: the platform's largest value less room for the envelope.
+/// Largest fleet file, in bytes: the platform's value size limit less the size of the object's envelope.
 pub const MAX_FLEET_BYTES: usize = 1_000_000;
 
 /// A fleet file as written in JSON.
@@ -30,7 +30,7 @@
     /// Organisations with their shares and limits.
     #[serde(default)]
     pub organisations: Vec<RawOrganisation>,
-    /// How weights are to be spread.
+    /// Policy for the distribution of weights.
     #[serde(default)]
     pub burst: BurstPolicy,
 }
@@ -51,7 +51,7 @@
     /// Adapters loaded with it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub adapters: Vec<RawAdapter>,
-    /// What its engines do.
+    /// Role of its engines.
     #[serde(default)]
     pub role: EngineRole,
     /// Replicas per failure domain.
@@ -87,7 +87,7 @@
     /// Calls that must not run twice; any other POST or PATCH counts as one too.
     #[serde(default)]
     pub not_repeatable: Vec<CallPattern>,
-    /// Calls that may run twice although their method does not say so.
+    /// Calls that may run twice although their method is not idempotent.
     #[serde(default)]
     pub repeatable: Vec<CallPattern>,
 }
@@ -111,13 +111,13 @@
     /// BLAKE3 digests of the bearer keys of its callers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub key_digests: Vec<String>,
-    /// Its part of the capacity, relative to the others.
+    /// Share of the capacity, relative to other organisations.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// Most requests in progress at one entry; no limit of its own if left out.
+    /// Largest number of requests in progress at one entry; unlimited if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub most_in_progress: Option<u32>,
-    /// Priority passed to engines; a higher one goes first.
+    /// Priority passed to engines; higher values are served first.
     #[serde(default)]
     pub priority: i32,
 }
@@ -126,7 +126,7 @@
     1
 }
 
-/// What the engines of a model do.
+/// Role of the engines of a model.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineRole {
@@ -139,7 +139,7 @@
     Decode,
 }
 
-/// What a burst should spare.
+/// Resource that a burst should minimise.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BurstPreference {
@@ -174,11 +174,11 @@
     }
 }
 
-/// How weights are to be spread.
+/// Policy for the distribution of weights.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurstPolicy {
-    /// What to spare.
+    /// Resource to minimise.
     #[serde(default)]
     pub prefer: BurstPreference,
 }
@@ -214,7 +214,7 @@
     pub base: WeightPart,
     /// Adapters loaded with it.
     pub adapters: Vec<AdapterPlan>,
-    /// What its engines do.
+    /// Role of its engines.
     pub role: EngineRole,
     /// Replicas per failure domain, each at least 1.
     pub replicas: BTreeMap<DomainId, u32>,
@@ -234,7 +234,7 @@
 }
 
 impl ModelPlan {
-    /// Every part whose weights must be whole before the set may serve.
+    /// The weights that must be complete before the set may serve: the base model and all adapters.
     pub fn parts(&self) -> Vec<WeightPart> {
         let adapters = self.adapters.iter().map(|adapter| adapter.part.clone());
         std::iter::once(self.base.clone()).chain(adapters).collect()
@@ -251,7 +251,7 @@
 
     /// Replicas that must keep serving in `domain` while versions change.
     ///
-    /// Where the file is silent it is all but one, so that a change of version can go on at all.
+    /// Defaults to all but one, so that a change of version can make progress.
     pub fn min_serving(&self, domain: &DomainId) -> u32 {
         let replicas = self.replicas.get(domain).copied().unwrap_or(0);
         self.keep_serving.get(domain).copied().unwrap_or(replicas.saturating_sub(1))
@@ -306,9 +306,9 @@
     pub name: OrganisationName,
     /// Digests of its callers' keys.
     pub key_digests: Vec<Digest>,
-    /// Its part of the capacity, at least 1.
+    /// Share of the capacity, at least 1.
     pub share: u32,
-    /// Most requests in progress at one entry.
+    /// Largest number of requests in progress at one entry.
     pub most_in_progress: Option<u32>,
     /// Priority passed to engines.
     pub priority: i32,
@@ -323,7 +323,7 @@
     pub services: Vec<ServicePlan>,
     /// Organisations.
     pub organisations: Vec<OrganisationPlan>,
-    /// How weights are spread.
+    /// Policy for the distribution of weights.
     pub burst: BurstPolicy,
 }
 
@@ -337,7 +337,7 @@
         from_json::<RawFleet>(text)?.try_into()
     }
 
-    /// The model that answers to `caller_name`, be it a model's or an adapter's.
+    /// The model that callers address as `caller_name`, which names the model or one of its adapters.
     pub fn model_for(&self, caller_name: &str) -> Option<&ModelPlan> {
         let base = caller_name.split(':').next().unwrap_or(caller_name);
         let named = self.models.iter().find(|model| model.name.as_str() == base)?;
@@ -374,7 +374,7 @@
     let mut seen = HashSet::new();
     for (at, name) in names.enumerate() {
         if !seen.insert(name) {
-            let message = format!("\"{name}\" stands twice; remove or rename one");
+            let message = format!("\"{name}\" occurs twice; remove or rename one");
             return Err(InputError::new(format!("{list}[{at}]"), message));
         }
     }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of boxes, domains, models and everything else that carries an id.
+//! Checked names of boxes, domains, models and other identified items.
 
 use std::{fmt, str::FromStr};
 
@@ -107,14 +107,14 @@
 );
 
 impl BoxId {
-    /// A 64-bit stand-in for the id, the same in every process.
+    /// A 64-bit hash of the id, the same in every process.
     pub fn key(&self) -> u64 {
         crate::digest::key_of(self.as_str().as_bytes())
     }
 }
 
 impl DomainId {
-    /// A 64-bit stand-in for the id, the same in every process.
+    /// A 64-bit hash of the id, the same in every process.
     pub fn key(&self) -> u64 {
         crate::digest::key_of(self.as_str().as_bytes())
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,6 @@
 //! Checked types shared by every package of headlatch.
 //!
-//! Raw input is turned into these types once, at the border, by `TryFrom`;
-//! nothing past the border checks again.
+//! Raw input is converted to these types once, where it enters the process, and is not checked again.
 
 pub mod digest;
 pub mod direct_settings;
--- a/crates/types/src/manifest.rs
+++ b/crates/types/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: which files a version has and which chunks make up each file.
+//! Manifests: the files of a version and the chunks of each file.
 
 use std::collections::HashSet;
 
@@ -13,7 +13,7 @@
 /// Name of the manifest beside the files at an origin or weight store.
 pub const MANIFEST_FILE: &str = "headlatch-manifest.json";
 
-/// Largest manifest read, in bytes.
+/// Largest accepted manifest, in bytes.
 pub const MAX_MANIFEST_BYTES: usize = 16 << 20;
 
 /// Largest chunk allowed, in bytes.
@@ -53,7 +53,7 @@
     pub files: Vec<FileEntry>,
 }
 
-/// One chunk: what it must hash to and where its bytes stand.
+/// One chunk: its digest and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkLocation {
     /// Digest of the bytes.
@@ -87,7 +87,7 @@
         Self::parse(text)
     }
 
-    /// Reads a manifest whose digest is not known beforehand.
+    /// Reads a manifest without checking it against an expected digest.
     pub fn parse(text: &[u8]) -> Result<Self, InputError> {
         let plain = std::str::from_utf8(text)
             .map_err(|_| InputError::new("", "the manifest is not UTF-8 text"))?;
@@ -100,7 +100,7 @@
     }
 
     /// The manifest of weights that are published as pieces of equal size with SHA-256 digests.
-    /// `name` tells apart versions with the same pieces.
+    /// `name` is part of the manifest's digest, so versions with the same pieces have different digests.
     pub fn from_pieces(name: &str, piece_bytes: u64, digests: Vec<Digest>) -> Self {
         let mut text = name.as_bytes().to_vec();
         digests.iter().for_each(|digest| text.extend_from_slice(digest.as_bytes()));
@@ -115,7 +115,7 @@
         Self { digest, files, chunks, total, kind: DigestKind::Sha256 }
     }
 
-    /// How the digests of its chunks are made.
+    /// Hash function of the chunk digests.
     pub fn kind(&self) -> DigestKind {
         self.kind
     }
@@ -160,7 +160,7 @@
             return Err(InputError::new(path, message));
         }
         if !seen.insert(&file.path) {
-            return Err(InputError::new(path, format!("\"{}\" stands twice", file.path)));
+            return Err(InputError::new(path, format!("\"{}\" occurs twice", file.path)));
         }
     }
     Ok(())
--- a/crates/types/src/progress.rs
+++ b/crates/types/src/progress.rs
@@ -1,22 +1,22 @@
-//! How far an answer has come.
+//! Progress of receiving a response.
 
 use std::sync::{
     Arc,
     atomic::{AtomicU64, Ordering},
 };
 
-/// Bytes of an answer's body that have come so far, shared by whoever reads it and whoever waits for
-/// it.
+/// Number of bytes of a response body received so far, shared between the task that reads the body and the
+/// tasks that wait for it.
 #[derive(Debug, Clone, Default)]
 pub struct ByteProgress(Arc<AtomicU64>);
 
 impl ByteProgress {
-    /// Further `bytes` have come.
+    /// Adds `bytes` received bytes.
     pub fn add(&self, bytes: usize) {
         self.0.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Bytes that have come.
+    /// Number of bytes received.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/types/src/quantity.rs
+++ b/crates/types/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates, revisions and tokens.
+//! Sizes, rates, revisions and fencing tokens.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -95,7 +95,7 @@
 pub struct ByteRate(u64);
 
 impl ByteRate {
-    /// A rate of `bytes` bytes a second; 0 is raised to 1, so that a transfer always ends.
+    /// A rate of `bytes` bytes a second; 0 is raised to 1, so that the time of a transfer is finite.
     pub const fn from_bytes_per_second(bytes: u64) -> Self {
         Self(if bytes == 0 { 1 } else { bytes })
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// Bytes in a number of megabits, which links are told in.
+/// Converts a rate in Mbit/s to bytes a second.
 fn parse_megabits(text: &str) -> Option<u64> {
     let megabits: f64 = text.trim().parse().ok()?;
     (megabits.is_finite() && megabits > 0.0).then_some((megabits * 125_000.0) as u64)
@@ -178,7 +178,7 @@
     fn from_str(text: &str) -> Result<Self, QuantityError> {
         let rate: Option<f64> = text.trim().parse().ok();
         let rate = rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
-        // Rounded down: a limit is never taken for more than it says.
+        // Rounded down, so that a limit is never exceeded.
         rate.map(|rate| Self((rate * 1000.0) as u64)).ok_or_else(|| QuantityError {
             text: text.to_owned(),
             what: "number of requests a second",
@@ -237,6 +237,6 @@
     ConfigRevision
 );
 number_type!(
-    /// A token that rises with every new giver of orders to an endpoint.
+    /// A token that increases with every new process that takes over control of an endpoint.
     FencingToken
 );
--- a/crates/types/src/reading.rs
+++ b/crates/types/src/reading.rs
@@ -1,10 +1,10 @@
-//! Reading JSON input so that every mistake names its place.
+//! Parsing of JSON input with errors that name the offending field.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 
-/// A mistake in an input file: where it stands and what to change.
+/// An error in an input file: the field and what to change.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct InputError {
     /// Path of the offending field, such as `models[2].replicas`; empty for the whole file.
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,9 +1,9 @@
-//! What tells that the same request comes again.
+//! Recognition of repeated requests.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
-/// A digest of a request's content: 64 bits of BLAKE3, enough to tell apart what one caller sends. The
-/// caller is part of it, so that nobody's content can stand for another caller's.
+/// A digest of a request's caller and content: 64 bits of BLAKE3, enough to distinguish the requests of one
+/// caller. It includes the caller so that requests of different callers never match.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(pub u64);
 
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -37,7 +37,7 @@
     /// Trace export; none if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub traces: Option<TraceSettings>,
-    /// Time a planned stop waits for requests in progress, in seconds.
+    /// Drain time for requests in progress on shutdown, in seconds.
     #[serde(default = "default_drain_seconds")]
     pub drain_seconds: u64,
     /// Settings of an entry.
@@ -51,7 +51,7 @@
     pub direct: Option<RawDirect>,
 }
 
-/// What only an entry needs, as written in JSON.
+/// Settings of an entry, as written in JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawEntry {
@@ -62,7 +62,7 @@
     pub limits: CallerLimits,
 }
 
-/// What only an agent needs, as written in JSON.
+/// Settings of an agent, as written in JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawAgent {
@@ -80,7 +80,7 @@
     /// Rate of the origin's link, shared by all boxes.
     #[serde(default = "default_origin_rate")]
     pub origin_rate: ByteRate,
-    /// Most memory that chunks may take.
+    /// Memory limit for chunks.
     #[serde(default = "default_chunk_memory")]
     pub chunk_memory: ByteSize,
 }
@@ -93,7 +93,7 @@
     Engine {
         /// Address of its API.
         address: String,
-        /// Requests it runs at the same time.
+        /// Largest number of concurrent requests.
         #[serde(default = "default_slots")]
         slots: u32,
         /// Service it belongs to, in direct mode.
@@ -106,7 +106,7 @@
         address: String,
         /// Service it belongs to, as the fleet file names it.
         service: String,
-        /// Requests it runs at the same time.
+        /// Largest number of concurrent requests.
         #[serde(default = "default_slots")]
         slots: u32,
     },
@@ -116,30 +116,30 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Lowest level that is written.
+    /// Lowest level that is logged.
     #[serde(default)]
     pub level: LogLevel,
-    /// Form of a line.
+    /// Format of a line.
     #[serde(default)]
     pub format: LogFormat,
 }
 
-/// Lowest level that is written.
+/// Lowest level that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what needs an operator.
+    /// Only problems that need an operator.
     Error,
-    /// Also what may need one.
+    /// Also problems that may need an operator.
     Warn,
-    /// Also what happened.
+    /// Also events of normal operation.
     #[default]
     Info,
     /// Also every decision.
     Debug,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
@@ -150,11 +150,11 @@
     Json,
 }
 
-/// Where traces go.
+/// Export of traces.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceSettings {
-    /// URL of an OTLP collector that takes gRPC.
+    /// URL of an OTLP collector that accepts gRPC.
     pub collector: String,
 }
 
@@ -166,17 +166,17 @@
     pub body: ByteSize,
     /// Largest head of a request.
     pub head: ByteSize,
-    /// Time a caller has to send its head, in seconds.
+    /// Timeout for receiving the head of a request, in seconds.
     pub head_seconds: u64,
-    /// Time a caller has to send its body, in seconds.
+    /// Timeout for receiving the body of a request, in seconds.
     pub body_seconds: u64,
-    /// Connections held at the same time.
+    /// Largest number of open connections.
     pub connections: u32,
-    /// Requests in progress or queued at the same time.
+    /// Largest number of requests in progress or queued.
     pub requests: u32,
     /// Longest time a request may take, in seconds.
     pub request_seconds: u64,
-    /// Longest time a request may wait for a free endpoint, in milliseconds.
+    /// Longest queueing time for a free endpoint, in milliseconds.
     pub queue_ms: u64,
 }
 
@@ -195,13 +195,13 @@
     }
 }
 
-/// A box's link and what of it weights may use.
+/// A box's link and the part of it that weight transfers may use.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkSettings {
-    /// Rate of the link, each way in a full duplex link.
+    /// Rate of the link; per direction if the link is full duplex.
     pub rate: ByteRate,
-    /// Whether both ways share the rate.
+    /// Whether both directions share the rate.
     pub duplex: LinkDuplex,
     /// Part kept free for serving traffic.
     pub reserve: Option<ByteRate>,
@@ -218,7 +218,8 @@
 }
 
 impl LinkSettings {
-    /// The rate that weights may use: the link's less the reserve, at least a hundredth of it.
+    /// The rate that weight transfers may use: the link's rate less the reserve, at least 1 % of the link's
+    /// rate.
     pub fn usable(&self) -> ByteRate {
         let rate = self.rate.bytes_per_second();
         let reserve = self.reserve.map_or(0, ByteRate::bytes_per_second);
@@ -226,14 +227,14 @@
     }
 }
 
-/// Whether the two ways of a link share its rate.
+/// Whether the two directions of a link share its rate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkDuplex {
-    /// Each way has the whole rate.
+    /// Each direction has the whole rate.
     #[default]
     Full,
-    /// Both ways together have the rate.
+    /// Both directions together have the rate.
     Shared,
 }
 
@@ -283,14 +284,14 @@
     pub log: LogSettings,
     /// Trace export.
     pub traces: Option<TraceSettings>,
-    /// Time a planned stop waits for requests in progress.
+    /// Drain time for requests in progress on shutdown.
     pub drain: Duration,
 }
 
 /// Settings of an entry, checked.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// What every node has.
+    /// Settings common to all nodes.
     pub node: NodeSettings,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -303,7 +304,7 @@
 pub struct EndpointSettings {
     /// Address of its API.
     pub address: SocketAddr,
-    /// Requests it runs at the same time.
+    /// Largest number of concurrent requests.
     pub slots: u32,
     /// The plain service it belongs to; none for a model engine.
     pub service: Option<ServiceName>,
@@ -312,7 +313,7 @@
 /// Settings of an agent, checked.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// What every node has.
+    /// Settings common to all nodes.
     pub node: NodeSettings,
     /// The endpoint on this box.
     pub endpoint: EndpointSettings,
@@ -324,11 +325,11 @@
     pub link: LinkSettings,
     /// Rate of the origin's link.
     pub origin_rate: ByteRate,
-    /// Most memory that chunks may take.
+    /// Memory limit for chunks.
     pub chunk_memory: ByteSize,
 }
 
-/// Base URL of an outside system, by IP number.
+/// Base URL of an external system; the host is an IP address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceUrl {
     address: SocketAddr,
@@ -488,7 +489,10 @@
         }
     };
     if slots == 0 {
-        return Err(InputError::new("agent.endpoint.slots", "0 would run nothing; give 1 or more"));
+        return Err(InputError::new(
+            "agent.endpoint.slots",
+            "0 slots would run no request; give 1 or more",
+        ));
     }
     let address = parse_address("agent.endpoint.address", address)?;
     Ok(EndpointSettings { address, slots, service })
--- a/crates/types/src/status.rs
+++ b/crates/types/src/status.rs
@@ -18,7 +18,7 @@
     pub domain: DomainId,
     /// The entry that wrote this.
     pub writer: BoxId,
-    /// When it was written, in milliseconds since 1970.
+    /// When it was written, in Unix milliseconds.
     pub written_ms: u64,
     /// Every node of the domain.
     pub nodes: Vec<NodeStatus>,
@@ -32,11 +32,11 @@
     pub id: BoxId,
     /// Revision in force there.
     pub revision: ConfigRevision,
-    /// Whether it is about to leave.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// Milliseconds since it was last heard of, when this was written.
+    /// Milliseconds since its last sign of life at the time of writing.
     pub silent_ms: u64,
-    /// What its endpoint does; none for an entry.
+    /// Status of its endpoint; none for an entry.
     pub endpoint: Option<EndpointStatus>,
 }
 
@@ -45,18 +45,18 @@
 pub struct EndpointStatus {
     /// The plain service it serves; none for an engine.
     pub service: Option<ServiceName>,
-    /// The set that serves.
+    /// The weight set in use.
     pub serving: Option<SetKey>,
-    /// The set that is being brought in.
+    /// The weight set that is being fetched.
     pub fetching: Option<SetKey>,
-    /// Part of it that is verified, in thousandths.
+    /// Verified part of the fetched set, in thousandths.
     pub fetched_permille: u32,
     /// Rate of the transfer, in bytes a second.
     pub fetch_rate: u64,
     /// Requests in progress.
     pub in_progress: u32,
-    /// Requests it can run at the same time.
+    /// Largest number of concurrent requests.
     pub slots: u32,
-    /// Whether it answers.
+    /// Whether it responds to health checks.
     pub healthy: bool,
 }
--- a/crates/types/src/traffic.rs
+++ b/crates/types/src/traffic.rs
@@ -1,7 +1,7 @@
-//! Routed traffic: which service answers which path, who may ask, and which servers there are.
+//! Routed traffic: routes, services, tenants and servers.
 //!
-//! These are the checked forms. An adapter builds them from whatever an outside system says; the
-//! rest of headlatch never sees the raw form.
+//! An adapter converts the data of an external system to these checked types; the rest of headlatch does
+//! not use the external format.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
     reading::InputError,
 };
 
-/// Version of a traffic plan; plans in force only ever go up.
+/// Version of a traffic plan; the version in force never decreases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Version of a model's weights; wanted versions only ever go up.
+/// Version of a model's weights; the target version never decreases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -50,7 +50,7 @@
     /// It runs at most once.
     #[default]
     Once,
-    /// Its answer is a stream of events; repeatable only where the route says so.
+    /// The response is a stream of events; it is repeatable only if the route is resumable.
     Stream,
 }
 
@@ -59,7 +59,7 @@
 pub struct RouteTarget {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its share, relative to the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
@@ -104,21 +104,21 @@
     pub name: Arc<str>,
     /// Value of the request's `Host` header.
     pub host: String,
-    /// What its paths begin with; ends with a slash.
+    /// Prefix of its paths; ends with a slash.
     pub path_prefix: String,
     /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time a request is held, in milliseconds.
+    /// Request timeout, in milliseconds.
     pub timeout_ms: u64,
-    /// Time in which an answer is wanted, for streams the first event, in milliseconds.
+    /// Latency objective for the response, for streams for the first event, in milliseconds.
     pub objective_ms: u64,
-    /// Longest pause wanted between events of a stream, in milliseconds; 0 for no wish.
+    /// Objective for the longest pause between events of a stream, in milliseconds; 0 for none.
     pub pause_objective_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that answer it.
+    /// Services that handle its requests.
     pub targets: Vec<RouteTarget>,
-    /// Most servers that one request is sent to.
+    /// Largest number of attempts per request.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Longest time a request is held.
+    /// Request timeout.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Time in which an answer is wanted.
+    /// Latency objective.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.objective_ms)
     }
@@ -152,40 +152,40 @@
 /// Callers that share keys and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which servers are told.
+    /// Name, which is sent to servers.
     pub name: Arc<str>,
-    /// Keys that its callers show.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank, which goes before a route's.
+    /// Priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// What a service's model engines can do, as far as it is known.
+/// Capacity of a service's model engines, as far as it is known.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCapacity {
-    /// Requests that run at the same time.
+    /// Largest number of concurrent requests.
     pub slots: u32,
-    /// Tokens that fit into memory.
+    /// Capacity of the KV cache, in tokens.
     pub memory_tokens: u64,
     /// Time of one step, in milliseconds.
     pub step_ms: f64,
-    /// Steps played before prompts are read again.
+    /// Decode steps run between two prefill phases.
     pub stride: u32,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed a second.
     pub read_per_second: f64,
-    /// Layers of its model; 0 if it is not said.
+    /// Layers of its model; 0 if unknown.
     pub layers: u32,
-    /// Tokens of a usual prompt.
+    /// Tokens of a typical prompt.
     pub usual_prompt: u64,
-    /// Tokens of a usual answer.
+    /// Tokens of a typical completion.
     pub usual_answer: u64,
-    /// Models that they run.
+    /// Models that the engines run.
     pub models: Vec<ModelName>,
-    /// Time a whole model takes to become ready once it is staged, in milliseconds.
+    /// Warm-up time of a model after staging, in milliseconds.
     pub warm_ms: u64,
 }
 
-/// Where weights come from.
+/// An origin of weights.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OriginPlan {
     /// Its address.
@@ -199,27 +199,27 @@
 /// One service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServicePlan {
-    /// Connections that one of its servers accepts from all callers together; 0 if it is not said.
+    /// Connections that one of its servers accepts from all callers together; 0 if unknown.
     pub max_connections: u32,
-    /// Requests a second that one of its servers is sent at most while it is cold; 0 for no bound.
+    /// Largest rate of requests a second to one of its servers while it is cold; 0 for no limit.
     #[serde(default)]
     pub cold_per_second: f64,
     /// Its model engines, if it has any.
     pub engine: Option<EngineCapacity>,
-    /// It hands out weights from here, if it does.
+    /// The weight origin that it provides, if any.
     pub origin: Option<OriginPlan>,
 }
 
-/// What callers may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
     /// Largest head of a request, in bytes.
     pub head_bytes: usize,
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time a caller has to send its head, in milliseconds.
+    /// Timeout for receiving the head of a request, in milliseconds.
     pub head_ms: u64,
-    /// Time a connection may rest, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -229,7 +229,7 @@
     }
 }
 
-/// Everything that decides where a request may go.
+/// The routing configuration: routes, services, limits and tenants.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficPlan {
     /// Its version.
@@ -245,7 +245,7 @@
 }
 
 impl TrafficPlan {
-    /// Checks what the parts say of each other.
+    /// Checks the routes.
     pub fn check(&self) -> Result<(), InputError> {
         for (index, route) in self.routes.iter().enumerate() {
             check_route(&format!("routes[{index}]"), route)?;
@@ -253,13 +253,14 @@
         Ok(())
     }
 
-    /// Whether every request to a service may be cut and run again, or continued elsewhere.
+    /// Whether every request to a service may be interrupted, because it can be repeated or resumed on another
+    /// server.
     pub fn may_interrupt(&self, service: &str) -> bool {
         let sends = |route: &Route| route.targets.iter().any(|one| &*one.service == service);
         self.routes.iter().filter(|route| sends(route)).all(Route::repeatable)
     }
 
-    /// Whether some of the requests to a service may run in some regions only.
+    /// Whether a route to a service is restricted to some regions.
     pub fn restricts_regions(&self, service: &str) -> bool {
         let sends = |route: &Route| route.targets.iter().any(|one| &*one.service == service);
         let mut restricted =
@@ -267,9 +268,9 @@
         restricted.any(sends)
     }
 
-    /// What agents need of the plan: engines, the origin, and for each service one of the routes that
-    /// keep its requests from being cut. Whole plans of a megabyte, read by every agent of a region
-    /// after a loss of power, fill its link for half a minute.
+    /// The part of the plan that agents need: services with engines or an origin and, for each of them, one
+    /// route whose requests must not be interrupted. Whole plans of 1 MB, read by every agent of a region
+    /// after a power failure, saturate the region's link for half a minute.
     pub fn for_agents(&self) -> Self {
         let used = |service: &ServicePlan| service.engine.is_some() || service.origin.is_some();
         let services = self.services.iter().filter(|(_, service)| used(service));
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The first service that hands out weights.
+    /// The origin of the first service that has one.
     pub fn origin(&self) -> Option<&OriginPlan> {
         self.services.values().find_map(|service| service.origin.as_ref())
     }
@@ -303,17 +304,17 @@
         return Err(InputError::new(format!("{path}.path_prefix"), message));
     }
     if route.targets.iter().all(|target| target.weight == 0) {
-        let message = "no service has a weight above 0; name a service that answers";
+        let message = "no service has a weight above 0; give at least one service a weight";
         return Err(InputError::new(format!("{path}.targets"), message));
     }
     if route.max_attempts == 0 {
-        let message = "0 attempts would answer nothing; give 1 or more";
+        let message = "0 attempts would fail every request; give 1 or more";
         return Err(InputError::new(format!("{path}.max_attempts"), message));
     }
     Ok(())
 }
 
-/// One start of a server; a server that is started again has another.
+/// Id of a server. Where servers do not report a start time, a restarted server has a new id.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId(pub Arc<str>);
 
@@ -339,14 +340,15 @@
 pub struct HeldModel {
     /// The model.
     pub model: ModelName,
-    /// Version that it answers with.
+    /// Version used for responses.
     pub version: WeightVersion,
-    /// Its layers; none listed if the server does not say.
+    /// Layers held; empty if the server does not report them.
     pub layers: Vec<HeldLayers>,
 }
 
 impl HeldModel {
-    /// The version of which every one of `layers` layers is held, if there is one.
+    /// The version in use, if the server holds all `layers` layers of it. If `layers` is 0, the number
+    /// of layers is unknown and not checked.
     pub fn whole_version(&self, layers: u32) -> Option<WeightVersion> {
         if layers == 0 {
             return Some(self.version);
@@ -364,8 +366,7 @@
     }
 }
 
-/// When a server was started, as it says itself, in Unix milliseconds: it may start again under the id
-/// that it had.
+/// Start time that a server reports, in Unix milliseconds. It distinguishes restarts under the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartTime(pub u64);
 
@@ -374,27 +375,27 @@
 pub struct ServerRecord {
     /// Its id.
     pub id: ServerId,
-    /// This start of it, if it tells that; else it has another id after each start.
+    /// Start time, if the server reports it; otherwise it has a new id after each start.
     #[serde(default, rename = "born")]
     pub started_at: Option<StartTime>,
     /// The service it belongs to.
     pub service: Arc<str>,
-    /// Where it answers.
+    /// Address on which it serves requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Failure domain.
     pub zone: DomainId,
-    /// Requests that it runs at the same time.
+    /// Largest number of concurrent requests.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Time for which it was still cold from its start when this was told, in milliseconds.
+    /// Remaining time of its cold phase at the time of the report, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Models that it holds; none listed for a plain service.
+    /// Models that it holds; empty for a plain service.
     pub models: Vec<HeldModel>,
 }
 
-/// The version of a model's weights that is wanted everywhere.
+/// Target version of a model's weights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetWeights {
     /// The model.
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -8,18 +8,18 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunVerdict {
-    /// It ran and its whole answer is known.
+    /// It ran and its complete response is known.
     Ran,
-    /// It certainly did not run, and may be sent elsewhere.
+    /// It did not run, and may be sent to another endpoint.
     NotRun,
-    /// Nobody can tell; a request that may not be repeated must not be sent again.
+    /// Unknown; a request that is not repeatable must not be sent again.
     #[default]
     MayHaveRun,
 }
 
 impl RunVerdict {
-    /// What is known of a request whose earlier attempts came to `earlier` and whose last came to
-    /// this: a refusal of the last says nothing about those before.
+    /// Combines the verdict of the last attempt with that of `earlier` attempts: if the last did not run, an
+    /// earlier one still may have.
     pub const fn after(self, earlier: Option<Self>) -> Self {
         match (self, earlier) {
             (Self::NotRun, Some(Self::MayHaveRun | Self::Ran)) => Self::MayHaveRun,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The word used in headers, logs and metrics.
+    /// The value used in headers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -69,7 +69,7 @@
     Repeatable,
 }
 
-/// Leave to send a request once more; only [`RetryPermit::after`] makes one.
+/// Permission to retry a request; only [`RetryPermit::after`] creates one.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RetryPermit(());
 
--- a/crates/types/tests/agent_plan.rs
+++ b/crates/types/tests/agent_plan.rs
@@ -1,4 +1,4 @@
-//! What agents are handed of a plan.
+//! The part of a plan that agents receive.
 
 use googletest::prelude::*;
 use headlatch_types::traffic::{
@@ -42,7 +42,8 @@
     }
 }
 
-/// A plan of a megabyte for each of dozens of agents fills the link of a region for half a minute.
+/// Guards against sending whole plans to agents: 1 MB for each of dozens of agents saturates the link of a
+/// region for half a minute.
 #[gtest]
 fn it_says_the_same_of_origin_and_cuts_and_is_short() {
     for kind in [RouteKind::Stream, RouteKind::Once] {
--- a/crates/types/tests/checked_input.rs
+++ b/crates/types/tests/checked_input.rs
@@ -1,4 +1,4 @@
-//! Raw input to checked types: what is refused, and where the error points.
+//! Conversion of raw input to checked types: which input is rejected, and which field the error names.
 
 use googletest::prelude::*;
 use headlatch_types::{
@@ -38,7 +38,7 @@
     })
 }
 
-/// The value with the field at `pointer` replaced; a null removes it.
+/// The JSON text of the value with the field at `pointer` replaced, or removed if `new` is null.
 fn changed(mut value: Value, pointer: &str, new: Value) -> String {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer has a slash");
     let parent = value.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
