--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -15,7 +15,7 @@
 
 use crate::server::{BodyError, read_body};
 
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Whether a call that failed may have run.
 ///
@@ -69,7 +69,7 @@
 
     fn build(pooled: bool) -> Self {
         let mut builder = Client::builder();
-        builder.set_connect_timeout(CONNECT_TIME);
+        builder.set_connect_timeout(CONNECT_TIMEOUT);
         if !pooled {
             builder.set_max_idle_per_host(0);
         }
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Sends a request and reads the whole response, of up to `most` bytes. `time` limits the wait for the
+    /// Sends a request and reads the whole response, of up to `max_bytes` bytes. `time` limits the wait for the
     /// head and then again the reading of the body.
     pub async fn call(
         &self,
@@ -111,16 +111,15 @@
         (method, path): (Method, &str),
         headers: HeaderMap,
         body: Bytes,
-        (most, time): (ByteSize, Duration),
+        (max_bytes, time): (ByteSize, Duration),
     ) -> Result<(StatusCode, HeaderMap, Bytes), CallError> {
         let late = |verdict| CallError { verdict, message: format!("{path}: no answer in time") };
         let sent = self.send(address, method, path, headers, body);
         let response =
             tokio::time::timeout(time, sent).await.map_err(|_| late(RunVerdict::MayHaveRun))??;
         let (parts, body) = response.into_parts();
-        let body = read_body(body, most, time).await.map_err(|error: BodyError| CallError {
-            verdict: RunVerdict::MayHaveRun,
-            message: format!("{path}: {error}"),
+        let body = read_body(body, max_bytes, time).await.map_err(|error: BodyError| {
+            CallError { verdict: RunVerdict::MayHaveRun, message: format!("{path}: {error}") }
         })?;
         Ok((parts.status, parts.headers, body))
     }
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -183,17 +183,18 @@
         });
     }
 
-    /// Sends a request and reads the whole response, within `time` and up to `most` bytes.
+    /// Sends a request and reads the whole response, within `time` and up to `max_bytes` bytes.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: CallRequest,
-        most: usize,
+        max_bytes: usize,
         time: Duration,
     ) -> Result<CallResponse, ExchangeError> {
         let late = || ExchangeError::silent("no answer in time");
         let (started, is_kept) = (Instant::now(), !request.closes);
-        let called = tokio::time::timeout(time, self.call_untimed(address, request, most, time));
+        let called =
+            tokio::time::timeout(time, self.call_untimed(address, request, max_bytes, time));
         let answer = called.await.unwrap_or_else(|_| Err(late()));
         if is_kept && answer.as_ref().is_err_and(|error| error.silent) {
             self.close_stale(address, started);
@@ -205,15 +206,15 @@
         &self,
         address: SocketAddr,
         request: CallRequest,
-        most: usize,
+        max_bytes: usize,
         time: Duration,
     ) -> Result<CallResponse, ExchangeError> {
         let choice = match request.closes {
             true => ConnectionChoice::Fresh,
             false => ConnectionChoice::Kept,
         };
-        let silence = request.silence.unwrap_or(time);
-        let (mut held, _) = self.get(address, choice, silence).await?;
+        let idle_timeout = request.idle_timeout.unwrap_or(time);
+        let (mut held, _) = self.get(address, choice, idle_timeout).await?;
         let uri: Uri = request.path.parse().map_err(|error| {
             ExchangeError::not_sent(format!("{}: {error}", request.path), false)
         })?;
@@ -222,9 +223,10 @@
             headers.insert(header::HOST, host);
         }
         let sent = held.send(request.method, uri, headers, request.body);
-        let answer = with_timeout(silence, sent).await??;
+        let answer = with_timeout(idle_timeout, sent).await??;
         let (parts, body) = answer.into_parts();
-        let body = read_to_end(Limited::new(body, most), silence, &request.progress).await?;
+        let body =
+            read_to_end(Limited::new(body, max_bytes), idle_timeout, &request.progress).await?;
         if !request.closes {
             self.release(held);
         }
@@ -246,7 +248,7 @@
     /// Whether a new connection is used and closed after the response.
     pub closes: bool,
     /// Time without received data after which the call is aborted; the time limit of the call if none.
-    pub silence: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Counts the bytes received of the response body.
     pub progress: ByteProgress,
 }
@@ -260,7 +262,7 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
             closes: false,
-            silence: None,
+            idle_timeout: None,
             progress: ByteProgress::default(),
         }
     }
@@ -275,9 +277,9 @@
         Self { closes: true, ..self }
     }
 
-    /// Aborts the call when no data is received for `silence`.
-    pub fn with_idle_timeout(self, silence: Duration) -> Self {
-        Self { silence: Some(silence), ..self }
+    /// Aborts the call when no data is received for `idle_timeout`.
+    pub fn with_idle_timeout(self, idle_timeout: Duration) -> Self {
+        Self { idle_timeout: Some(idle_timeout), ..self }
     }
 
     /// Counts the bytes received of the response body in `progress`.
@@ -298,21 +300,21 @@
 }
 
 async fn with_timeout<T>(
-    silence: Duration,
+    idle_timeout: Duration,
     step: impl Future<Output = T>,
 ) -> Result<T, ExchangeError> {
-    let silent = |_| ExchangeError::silent(format!("silent for {} ms", silence.as_millis()));
-    tokio::time::timeout(silence, step).await.map_err(silent)
+    let silent = |_| ExchangeError::silent(format!("silent for {} ms", idle_timeout.as_millis()));
+    tokio::time::timeout(idle_timeout, step).await.map_err(silent)
 }
 
-/// Reads a body to its end; fails if no data is received for `silence`, however long the whole takes.
+/// Reads a body to its end; fails if no data is received for `idle_timeout`, however long the whole takes.
 async fn read_to_end(
     mut body: Limited<Incoming>,
-    silence: Duration,
+    idle_timeout: Duration,
     progress: &ByteProgress,
 ) -> Result<Bytes, ExchangeError> {
     let mut whole = BytesMut::new();
-    while let Some(frame) = with_timeout(silence, body.frame()).await? {
+    while let Some(frame) = with_timeout(idle_timeout, body.frame()).await? {
         let frame = frame.map_err(|error| ExchangeError::lost(error.to_string()))?;
         if let Ok(data) = frame.into_data() {
             progress.add(data.len());
--- a/crates/http/src/pace.rs
+++ b/crates/http/src/pace.rs
@@ -9,7 +9,7 @@
 pub const TURN_BYTES: usize = 32 << 10;
 
 /// Largest burst after an idle period, as transmission time.
-const BURST_TIME: Duration = Duration::from_millis(4);
+const MAX_BURST_TIME: Duration = Duration::from_millis(4);
 
 /// Pacer for one direction of a link.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
 
     fn reserve(&self, bytes: usize) -> Instant {
         let now = Instant::now();
-        let earliest = now.checked_sub(BURST_TIME).unwrap_or(now);
+        let earliest = now.checked_sub(MAX_BURST_TIME).unwrap_or(now);
         let mut free_at = self.free_at.lock().unwrap_or_else(|broken| broken.into_inner());
         let start = free_at.map_or(earliest, |free_at| free_at.max(earliest));
         let end = start + self.rate.time_for(ByteSize::from_bytes(bytes as u64));
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -26,7 +26,7 @@
 use crate::stop::StopSignal;
 
 /// Pause after a failed `accept`, so that the loop does not spin when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits of one listener.
 #[derive(Debug, Clone)]
@@ -108,7 +108,7 @@
         }
         Err(error) => {
             log::warn!("http: accept failed: {error}");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
@@ -155,9 +155,13 @@
     Broken,
 }
 
-/// Reads a whole body of at most `most` bytes within `time`.
-pub async fn read_body(body: Body, most: ByteSize, time: Duration) -> Result<Bytes, BodyError> {
-    let limited = Limited::new(body, most.bytes() as usize);
+/// Reads a whole body of at most `max_bytes` bytes within `time`.
+pub async fn read_body(
+    body: Body,
+    max_bytes: ByteSize,
+    time: Duration,
+) -> Result<Bytes, BodyError> {
+    let limited = Limited::new(body, max_bytes.bytes() as usize);
     let collected = tokio::time::timeout(time, limited.collect());
     match collected.await {
         Err(_) => Err(BodyError::TooSlow),
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_body_past_the_limit_is_refused_announced_or_not() {
+async fn oversized_bodies_are_rejected_with_or_without_content_length() {
     let (address, _stop, _task) = start(echo(), HttpLimits::default()).await;
     let long = "x".repeat(101);
     let announced = format!(
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_head_that_drips_is_closed() {
+async fn incomplete_request_heads_time_out() {
     let limits = HttpLimits { head_time: Duration::from_millis(100), ..HttpLimits::default() };
     let (address, _stop, _task) = start(echo(), limits).await;
     // The head is never completed; the read ends because the server closes the connection.
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_answer_off() {
+async fn shutdown_completes_running_responses() {
     let (pieces, receiver) = mpsc::channel::<Result<Frame<Bytes>, BoxError>>(4);
     let receiver = Arc::new(Mutex::new(Some(receiver)));
     let begun = Arc::new(Notify::new());
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_finds_nobody_did_not_run_and_one_cut_off_may_have() {
+async fn refused_calls_did_not_run_and_interrupted_ones_may_have() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let target = || (Method::POST, "/");
--- a/crates/http/tests/silence.rs
+++ b/crates/http/tests/silence.rs
@@ -9,7 +9,7 @@
 /// Time limit of a whole call, far above the duration of these tests, so that only the idle timeout applies.
 const CALL_TIME: Duration = Duration::from_secs(60);
 
-const MOST: usize = 1 << 10;
+const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
 /// A server that sends the parts of a response with a pause before each, and then stalls.
 async fn server(parts: &'static [&'static str], pause: Duration) -> SocketAddr {
@@ -28,11 +28,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_stops_coming_is_given_up() {
+async fn stalled_responses_time_out() {
     for parts in [&[][..], &["HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n", "ab"][..]] {
         let address = server(parts, Duration::ZERO).await;
         let request = CallRequest::get("/").with_idle_timeout(Duration::from_millis(200));
-        let answer = Connections::default().call(address, request, MOST, CALL_TIME).await;
+        let answer =
+            Connections::default().call(address, request, MAX_RESPONSE_BYTES, CALL_TIME).await;
         let error = answer.expect_err("the response is incomplete");
         expect_that!(error.message, eq("silent for 200 ms"));
     }
@@ -40,11 +41,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_comes_slowly_is_read_to_its_end() {
+async fn slow_responses_are_read_completely() {
     let parts = &["HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n", "a", "b", "c", "d", "e", "f"];
     let address = server(parts, Duration::from_millis(300)).await;
     // Sending all parts takes longer than the idle timeout.
     let request = CallRequest::get("/").with_idle_timeout(Duration::from_secs(2));
-    let answer = Connections::default().call(address, request, MOST, CALL_TIME).await;
+    let answer = Connections::default().call(address, request, MAX_RESPONSE_BYTES, CALL_TIME).await;
     expect_that!(&answer.expect("a complete response").body[..], eq(b"abcdef"));
 }
--- a/crates/http/tests/silent_connections.rs
+++ b/crates/http/tests/silent_connections.rs
@@ -10,23 +10,23 @@
 const CALL_TIME: Duration = Duration::from_secs(60);
 
 /// Idle timeout of a call.
-const SILENCE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-const MOST: usize = 1 << 10;
+const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
 fn answer(_head: &str) -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec()
 }
 
 async fn call(connections: &Connections, address: SocketAddr) -> bool {
-    let request = CallRequest::get("/").with_idle_timeout(SILENCE);
-    connections.call(address, request, MOST, CALL_TIME).await.is_ok()
+    let request = CallRequest::get("/").with_idle_timeout(IDLE_TIMEOUT);
+    connections.call(address, request, MAX_RESPONSE_BYTES, CALL_TIME).await.is_ok()
 }
 
 /// A single lost call must be enough to discard all idle connections that stopped responding.
 #[gtest]
 #[tokio::test]
-async fn a_silent_connection_takes_down_those_that_rest_beside_it() {
+async fn a_timeout_on_a_reused_connection_closes_idle_ones() {
     let server = HalfDeafServer::start(answer).await.expect("a port is free");
     let address = server.address;
     let connections = Connections::default();
@@ -44,7 +44,7 @@
 /// A connection that has responded since the lost call was sent stays in the pool.
 #[gtest]
 #[tokio::test]
-async fn a_connection_that_has_answered_meanwhile_is_kept() {
+async fn a_connection_with_a_recent_response_stays_in_the_pool() {
     let server = HalfDeafServer::start(answer).await.expect("a port is free");
     let address = server.address;
     let connections = Connections::default();
@@ -52,7 +52,7 @@
     server.silence_connections();
     let lost = call(&connections, address);
     let other = async {
-        tokio::time::sleep(SILENCE / 3).await;
+        tokio::time::sleep(IDLE_TIMEOUT / 3).await;
         call(&connections, address).await
     };
     let (lost, other) = futures_util::future::join(lost, other).await;
--- a/crates/types/tests/agent_plan.rs
+++ b/crates/types/tests/agent_plan.rs
@@ -45,7 +45,7 @@
 /// Guards against sending whole plans to agents: 1 MB for each of dozens of agents saturates the link of a
 /// region for half a minute.
 #[gtest]
-fn it_says_the_same_of_origin_and_cuts_and_is_short() {
+fn agents_get_a_reduced_plan_with_the_same_origin_and_interruption_rules() {
     for kind in [RouteKind::Stream, RouteKind::Once] {
         let plan = plan(kind);
         let handed = plan.for_agents();
--- a/crates/types/tests/checked_input.rs
+++ b/crates/types/tests/checked_input.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-fn good_fleet() -> Value {
+fn valid_fleet() -> Value {
     let digest = Digest::of(b"weights").to_string();
     json!({
         "models": [{
@@ -29,7 +29,7 @@
     })
 }
 
-fn good_settings() -> Value {
+fn valid_settings() -> Value {
     json!({
         "box": "entry-1", "domain": "ghent", "region": "flanders",
         "control": "127.0.0.1:7100", "admin": "127.0.0.1:7101",
@@ -39,7 +39,7 @@
 }
 
 /// The JSON text of the value with the field at `pointer` replaced, or removed if `new` is null.
-fn changed(mut value: Value, pointer: &str, new: Value) -> String {
+fn with_field(mut value: Value, pointer: &str, new: Value) -> String {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer has a slash");
     let parent = value.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
     match new {
@@ -59,8 +59,8 @@
 #[case("/services/0/prefix", json!("/v1"), "services[0].prefix: \"/v1\" cannot be a prefix")]
 #[case("/organisations/0/share", json!(0), "organisations[0].share: 0 is not a share")]
 #[case("/burst/prefer", json!("speed"), "burst.prefer: unknown variant `speed`")]
-fn a_fleet_error_names_its_place(#[case] at: &str, #[case] new: Value, #[case] begins: &str) {
-    let error = FleetPlan::parse(&changed(good_fleet(), at, new)).expect_err("it is wrong");
+fn fleet_errors_name_the_field(#[case] at: &str, #[case] new: Value, #[case] begins: &str) {
+    let error = FleetPlan::parse(&with_field(valid_fleet(), at, new)).expect_err("it is wrong");
     assert_that!(error.to_string(), starts_with(begins));
 }
 
@@ -72,31 +72,32 @@
 #[case("/entry/limits", json!({ "requests": 0 }), "entry.limits.requests: 0 would refuse")]
 #[case("/entry", Value::Null, "neither entry nor agent is given")]
 #[case("/colour", json!(1), "colour: unknown field `colour`")]
-fn a_settings_error_names_its_place(#[case] at: &str, #[case] new: Value, #[case] begins: &str) {
-    let error = DaemonSettings::parse(&changed(good_settings(), at, new)).expect_err("it is wrong");
+fn settings_errors_name_the_field(#[case] at: &str, #[case] new: Value, #[case] begins: &str) {
+    let error =
+        DaemonSettings::parse(&with_field(valid_settings(), at, new)).expect_err("it is wrong");
     assert_that!(error.to_string(), starts_with(begins));
 }
 
 #[test]
-fn good_input_is_taken() {
-    assert_that!(FleetPlan::parse(&good_fleet().to_string()), ok(anything()));
-    assert_that!(DaemonSettings::parse(&good_settings().to_string()), ok(anything()));
+fn valid_input_is_accepted() {
+    assert_that!(FleetPlan::parse(&valid_fleet().to_string()), ok(anything()));
+    assert_that!(DaemonSettings::parse(&valid_settings().to_string()), ok(anything()));
 }
 
 #[test]
-fn sets_differ_whenever_any_part_does() {
+fn set_key_depends_on_versions_manifests_and_adapters() {
     let plan = |fleet: String| FleetPlan::parse(&fleet).expect("it is good").models[0].set_key();
-    let first = plan(good_fleet().to_string());
+    let first = plan(valid_fleet().to_string());
     let other = json!(Digest::of(b"other").to_string());
-    assert_that!(plan(changed(good_fleet(), "/models/0/version", json!("4"))), not(eq(first)));
-    assert_that!(plan(changed(good_fleet(), "/models/0/manifest", other)), not(eq(first)));
-    assert_that!(plan(changed(good_fleet(), "/models/0/adapters", json!([]))), not(eq(first)));
-    assert_that!(plan(changed(good_fleet(), "/models/0/replicas/ghent", json!(9))), eq(first));
+    assert_that!(plan(with_field(valid_fleet(), "/models/0/version", json!("4"))), not(eq(first)));
+    assert_that!(plan(with_field(valid_fleet(), "/models/0/manifest", other)), not(eq(first)));
+    assert_that!(plan(with_field(valid_fleet(), "/models/0/adapters", json!([]))), not(eq(first)));
+    assert_that!(plan(with_field(valid_fleet(), "/models/0/replicas/ghent", json!(9))), eq(first));
 }
 
 #[test]
 fn only_calls_known_to_be_harmless_are_repeatable() {
-    let plan = FleetPlan::parse(&good_fleet().to_string()).expect("it is good");
+    let plan = FleetPlan::parse(&valid_fleet().to_string()).expect("it is good");
     let call = |method, path| plan.services[0].repeatability(method, path);
     assert_that!(call("POST", "/notices"), eq(Repeatability::Once));
     assert_that!(call("POST", "/other"), eq(Repeatability::Once));
@@ -144,7 +145,7 @@
 
 proptest! {
     #[test]
-    fn sizes_and_rates_read_what_they_write(bytes in 1u64..1 << 50) {
+    fn sizes_and_rates_round_trip(bytes in 1u64..1 << 50) {
         let size = ByteSize::from_bytes(bytes);
         prop_assert_eq!(size.to_string().parse::<ByteSize>().unwrap(), size);
         let rate = ByteRate::from_bytes_per_second(bytes);
@@ -152,7 +153,7 @@
     }
 
     #[test]
-    fn decoders_of_outside_input_never_panic(text in ".{0,200}", bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn parsers_do_not_panic(text in ".{0,200}", bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = FleetPlan::parse(&text);
         let _ = DaemonSettings::parse(&text);
         let _ = Manifest::parse(&bytes);
@@ -161,7 +162,7 @@
     }
 
     #[test]
-    fn a_manifest_covers_every_byte_once(sizes in prop::collection::vec(0usize..50, 0..8), chunk in 1u64..20) {
+    fn chunks_cover_every_byte_once(sizes in prop::collection::vec(0usize..50, 0..8), chunk in 1u64..20) {
         let mut builder = ManifestBuilder::new(ByteSize::from_bytes(chunk));
         for (nth, size) in sizes.iter().enumerate() {
             builder.add(&format!("file-{nth}"), &vec![nth as u8; *size]);
