--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -139,6 +139,6 @@
     let error = HttpCaller::fresh()
         .call(address, target(), HeaderMap::new(), Bytes::from("x"), LIMITS)
         .await
-        .expect_err("nobody listens any more");
+        .expect_err("the listener is closed");
     assert_eq!(error.verdict, RunVerdict::NotRun);
 }
--- a/crates/types/src/fleet.rs
+++ b/crates/types/src/fleet.rs
@@ -114,7 +114,7 @@
     /// Share of the capacity, relative to other organisations.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// Largest number of requests in progress at one entry; unlimited if left out.
+    /// Largest number of requests in progress at one entry; no limit per organisation if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub most_in_progress: Option<u32>,
     /// Priority passed to engines; higher values are served first.
@@ -133,9 +133,9 @@
     /// Whole requests, from prompt to last token.
     #[default]
     Generate,
-    /// Prompts only.
+    /// Prefill of prompts only.
     Prefill,
-    /// Tokens only.
+    /// Decoding only.
     Decode,
 }
 
