--- a/crates/daemon/src/agent/loader.rs
+++ b/crates/daemon/src/agent/loader.rs
@@ -403,7 +403,7 @@
             })
             .collect();
         let replicas = 1 + others.len() as u32;
-        may_switch(own.rank, replicas, model.kept_in(domain).min(replicas - 1), &others)
+        may_switch(own.rank, replicas, model.min_serving(domain).min(replicas - 1), &others)
     }
 
     /// Publishes the served weight set without waiting for the next gossip round.
--- a/crates/daemon/src/direct/agent_plan.rs
+++ b/crates/daemon/src/direct/agent_plan.rs
@@ -16,7 +16,7 @@
 use headlatch_outside::facts::{Fact, FactStore, FactTopic, Freshness};
 use headlatch_types::{
     id::ModelName,
-    traffic::{EngineFigures, OriginPlan, PlanVersion, TrafficPlan},
+    traffic::{EngineCapacity, OriginPlan, PlanVersion, TrafficPlan},
 };
 use rand::seq::IndexedRandom;
 use serde_json::json;
@@ -68,7 +68,7 @@
     }
 
     /// Returns the engine parameters of `service`, or of the first service that has any.
-    pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineFigures> {
+    pub(super) fn engine(&self, service: Option<&str>) -> Option<EngineCapacity> {
         let plan = self.lock().clone()?;
         let named = service.and_then(|service| plan.services.get(service));
         let named = named.and_then(|service| service.engine.as_ref());
@@ -82,9 +82,9 @@
     }
 
     /// Whether all streams of `service` can be resumed on another server.
-    pub(super) fn may_cut(&self, service: Option<&str>) -> bool {
+    pub(super) fn may_interrupt(&self, service: Option<&str>) -> bool {
         let plan = self.lock().clone();
-        plan.zip(service).is_some_and(|(plan, service)| plan.may_cut(service))
+        plan.zip(service).is_some_and(|(plan, service)| plan.may_interrupt(service))
     }
 
     /// Requests a new read of the plan after a failure of the origin, whose address may have
--- a/crates/daemon/src/direct/plan_sync.rs
+++ b/crates/daemon/src/direct/plan_sync.rs
@@ -78,7 +78,7 @@
     path: &str,
 ) -> Result<TrafficPlan, String> {
     // An idle connection may have been dropped without notice, so none is reused.
-    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
+    let request = CallRequest::get(path).closing().with_idle_timeout(FETCH_SILENCE_TIMEOUT);
     let call = connections.call(address, request, MAX_PLAN_BYTES, FETCH_TIMEOUT);
     let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
     if response.status != StatusCode::OK {
--- a/crates/daemon/src/direct/server_sync.rs
+++ b/crates/daemon/src/direct/server_sync.rs
@@ -93,7 +93,7 @@
 ) -> Result<ServerChanges, String> {
     let path = format!("{SERVERS_PATH}{after}");
     // An idle connection may have been dropped without notice, so none is reused.
-    let request = CallRequest::get(path).closing().silent_for(FETCH_SILENCE_TIMEOUT);
+    let request = CallRequest::get(path).closing().with_idle_timeout(FETCH_SILENCE_TIMEOUT);
     let call = connections.call(address, request, MAX_RESPONSE_BYTES, FETCH_TIMEOUT);
     let response = call.await.map_err(|error| format!("{address}: {}", error.message))?;
     if response.status != StatusCode::OK {
--- a/crates/daemon/src/direct/stager.rs
+++ b/crates/daemon/src/direct/stager.rs
@@ -185,7 +185,7 @@
             return;
         }
         let order = self.order.take().map(|order| order.version);
-        let fields = json!({ "born": report.born, "ordered": order });
+        let fields = json!({ "born": report.started_at, "ordered": order });
         decisions::info("engine", "restarted", fields);
         for transfer in self.transfer.iter_mut().chain(&mut self.next_transfer) {
             transfer.stage.checked = None;
@@ -549,7 +549,7 @@
     /// Cuts running requests at a switch only if all of them can be resumed on another server.
     /// Waiting for them instead takes seconds in which the server accepts no new requests.
     fn running_requests(&self) -> RunningRequests {
-        match self.plan.may_cut(self.service()) {
+        match self.plan.may_interrupt(self.service()) {
             true => RunningRequests::Cut,
             false => RunningRequests::Finish,
         }
--- a/crates/daemon/tests/direct_agent.rs
+++ b/crates/daemon/tests/direct_agent.rs
@@ -34,8 +34,8 @@
     id::ModelName,
     settings::DaemonSettings,
     traffic::{
-        BirthTime, EngineFigures, HeldLayers, HeldModel, OriginPlan, ServicePlan, TrafficPlan,
-        WantedWeights, WeightVersion,
+        EngineCapacity, HeldLayers, HeldModel, OriginPlan, ServicePlan, StartTime, TargetWeights,
+        TrafficPlan, WeightVersion,
     },
 };
 
@@ -73,7 +73,7 @@
     /// Running requests.
     active: u32,
     /// Start time of the engine, if it reports one.
-    born: Option<BirthTime>,
+    born: Option<StartTime>,
     /// Whether an order was accepted while the stage was incomplete or corrupt.
     accepted_invalid_stage: bool,
 }
@@ -90,7 +90,8 @@
         let sequence = OrderSequence(state.sequence);
         let active = state.active;
         let born = state.born;
-        let report = StageReport { models, sequence, active, born, ..StageReport::default() };
+        let report =
+            StageReport { models, sequence, active, started_at: born, ..StageReport::default() };
         Box::pin(async move { Ok(report) })
     }
 
@@ -224,7 +225,7 @@
             FactTopic::Plan => Some(Fact::Plan(Box::new(plan()))),
             FactTopic::Servers | FactTopic::Evacuations => None,
             FactTopic::Weights => lock(&self.wanted)
-                .map(|version| Fact::Weights(WantedWeights { model: model(), version })),
+                .map(|version| Fact::Weights(TargetWeights { model: model(), version })),
         };
         let named = fact.map(|fact| NamedFact {
             name: "one".to_owned(),
@@ -259,7 +260,7 @@
 }
 
 fn plan() -> TrafficPlan {
-    let engine = EngineFigures { layers: LAYERS, models: vec![model()], ..Default::default() };
+    let engine = EngineCapacity { layers: LAYERS, models: vec![model()], ..Default::default() };
     let origin = OriginPlan {
         address: "127.0.0.1:1".parse().expect("valid address"),
         bytes_per_second: 10_000_000,
@@ -473,14 +474,14 @@
 #[tokio::test]
 async fn a_server_restarted_under_its_id_is_loaded_without_delay() {
     let engine = TestEngine::default();
-    lock(&engine.state).born = Some(BirthTime(1000));
+    lock(&engine.state).born = Some(StartTime(1000));
     let fixture = Fixture::new(engine, TestOrigin::default()).await;
     while lock(&fixture.engine.state).orders.is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     {
         let mut state = lock(&fixture.engine.state);
-        (state.holds, state.sequence, state.born) = (None, 0, Some(BirthTime(2000)));
+        (state.holds, state.sequence, state.born) = (None, 0, Some(StartTime(2000)));
     }
     let begun = std::time::Instant::now();
     while lock(&fixture.engine.state).orders.len() < 2 {
--- a/crates/daemon/tests/lost_watches.rs
+++ b/crates/daemon/tests/lost_watches.rs
@@ -22,7 +22,7 @@
     },
 };
 use headlatch_types::ByteProgress;
-use headlatch_types::traffic::{WantedWeights, WeightVersion};
+use headlatch_types::traffic::{TargetWeights, WeightVersion};
 use tokio::time::Instant;
 
 /// Time after which the platform's client abandons a call, in addition to the wait time of the
@@ -97,7 +97,7 @@
 }
 
 fn fact(revision: u64) -> NamedFact {
-    let wanted = WantedWeights {
+    let wanted = TargetWeights {
         model: "m".parse().expect("valid model name"),
         version: WeightVersion(revision),
     };
@@ -163,7 +163,7 @@
     let wanted = ChangeMark(store.changes.len() as u64);
     let known: Arc<Mutex<Option<Instant>>> = Arc::default();
     let observed = known.clone();
-    let take = move |news: FactNews| {
+    let take = move |news: FactUpdate| {
         if news.covered() >= wanted {
             observed.lock().expect("mutex is not poisoned").get_or_insert(Instant::now());
         }
--- a/crates/daemon/tests/narrow_links.rs
+++ b/crates/daemon/tests/narrow_links.rs
@@ -174,7 +174,7 @@
         let changed = Instant::now() + Duration::from_millis(6000 + tenths * 100);
         let store = Arc::new(NarrowStore { changed: Some(changed), ..NarrowStore::new(1) });
         let (notify_read, mut read) = mpsc::unbounded_channel();
-        let take = move |news: FactNews| {
+        let take = move |news: FactUpdate| {
             if news.covered().0 >= 2 {
                 notify_read.send(()).expect("the test waits");
             }
--- a/crates/daemon/tests/support/agent.rs
+++ b/crates/daemon/tests/support/agent.rs
@@ -31,7 +31,7 @@
         ..PeerNotice::empty(sender, PeerKind::Agent, DomainKey(1))
     };
     agent.send_to(&notices::encode(&notice), entry).await.expect("send a notice");
-    let mut buffer = vec![0; notices::MOST_DATAGRAM];
+    let mut buffer = vec![0; notices::MAX_DATAGRAM_BYTES];
     loop {
         let (length, _) = agent.recv_from(&mut buffer).await.expect("receive a notice");
         let answer = notices::decode(&buffer[..length]).expect("valid notice");
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -1,9 +1,9 @@
-//! Kept connections to servers, one request at a time on each.
+//! Connection pool for calls to servers, with one request at a time per connection.
 //!
-//! A library's pool may send a request on a connection that its server is closing, and then
-//! nobody can tell whether it ran. Here a request that was not written at all comes back as such,
-//! every connection is watched while it rests, and whatever is given up is closed at once, so that
-//! the server stops working on it.
+//! A general-purpose pool may send a request on a connection that the server is closing, and then it is unknown
+//! whether the request ran. This pool reports requests that were not written, watches idle connections for
+//! closure, and closes the connection of an aborted request at once, so that the server stops working on
+//! it.
 
 use std::{
     collections::HashMap,
@@ -23,20 +23,20 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle, time::Instant};
 
-/// Time for which a connection rests at most where its server says nothing.
-const REST_TIME: Duration = Duration::from_secs(8);
+/// Longest time for which an idle connection is reused, also if the server allows more.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
-/// Part of the rest that a server grants which is used, in percent.
-const REST_PERCENT: u64 = 70;
+/// Part of the server's keep-alive timeout for which an idle connection is reused, in percent.
+const KEEP_ALIVE_PERCENT: u64 = 70;
 
-/// Connections that rest for one address at most.
-const MOST_RESTING: usize = 64;
+/// Largest number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Largest body that is sent on a kept connection: a server may answer before it has read all of a
-/// longer one.
-const KEPT_BODY: usize = 32 << 10;
+/// Largest request body after which a connection may be reused: a server may respond before it has read all
+/// of a longer one.
+const MAX_REUSABLE_BODY_BYTES: usize = 32 << 10;
 
-/// A call that brought no answer.
+/// A call that failed without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct ExchangeError {
@@ -44,16 +44,16 @@
     pub verdict: RunVerdict,
     /// What happened.
     pub message: String,
-    /// Whether no connection came up.
+    /// Whether no connection was established.
     pub connecting: bool,
-    /// Whether the other side's machine answered that nobody listens there.
+    /// Whether the connection was refused, so the peer's box is up but nothing listens on the port.
     pub refused: bool,
-    /// Whether nothing came in time on a connection that was up.
+    /// Whether an established connection timed out.
     pub silent: bool,
 }
 
 impl ExchangeError {
-    fn unsent(message: impl Into<String>, connecting: bool) -> Self {
+    fn not_sent(message: impl Into<String>, connecting: bool) -> Self {
         let verdict = RunVerdict::NotRun;
         Self { verdict, message: message.into(), connecting, refused: false, silent: false }
     }
@@ -71,24 +71,24 @@
 /// Which connection a request may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// One that has rested, if there is one.
+    /// An idle connection, if there is one.
     #[default]
     Kept,
-    /// A new one: a late answer to an earlier request cannot be on it.
+    /// A new connection, which cannot carry a late response to an earlier request.
     Fresh,
 }
 
 /// A connection in use; it is closed when this is dropped.
 #[derive(Debug)]
-pub struct HeldConnection {
+pub struct ActiveConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     _driver: DriverGuard,
-    rest: Duration,
+    idle_limit: Duration,
     reusable: bool,
 }
 
-/// Ends a connection's task, and with it the connection, when dropped.
+/// Aborts the task that drives a connection, and so closes the connection, when dropped.
 #[derive(Debug)]
 struct DriverGuard(AbortHandle);
 
@@ -99,104 +99,105 @@
 }
 
 #[derive(Debug)]
-struct RestingConnection {
-    held: HeldConnection,
-    /// When it brought an answer last.
+struct IdleConnection {
+    held: ActiveConnection,
+    /// When its last response was complete.
     since: Instant,
     until: Instant,
 }
 
-/// Connections to any number of addresses.
+/// A pool of connections to any number of addresses.
 #[derive(Debug, Default)]
 pub struct Connections {
-    resting: Mutex<HashMap<SocketAddr, Vec<RestingConnection>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl Connections {
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<RestingConnection>>> {
-        self.resting.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// A connection to `address` that is up within `time`, and whether it is new.
+    /// Returns a connection to `address`, established within `time`, and whether it is new.
     pub async fn get(
         &self,
         address: SocketAddr,
         choice: ConnectionChoice,
         time: Duration,
-    ) -> Result<(HeldConnection, bool), ExchangeError> {
+    ) -> Result<(ActiveConnection, bool), ExchangeError> {
         if choice == ConnectionChoice::Kept
-            && let Some(held) = self.take_resting(address)
+            && let Some(held) = self.take_idle(address)
         {
             return Ok((held, false));
         }
         let opened = tokio::time::timeout(time, open(address)).await;
         let opened =
-            opened.map_err(|_| ExchangeError::unsent("no connection came up in time", true))?;
+            opened.map_err(|_| ExchangeError::not_sent("no connection came up in time", true))?;
         Ok((opened?, true))
     }
 
-    fn take_resting(&self, address: SocketAddr) -> Option<HeldConnection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<ActiveConnection> {
         let now = Instant::now();
-        let mut resting = self.lock();
-        let connections = resting.get_mut(&address)?;
+        let mut idle = self.lock();
+        let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
             if connection.until > now && connection.held.sender.is_ready() {
                 return Some(connection.held);
             }
         }
-        resting.remove(&address);
+        idle.remove(&address);
         None
     }
 
-    /// Lets a connection rest whose answer has been read to its end.
-    pub fn put_back(&self, held: HeldConnection) {
+    /// Returns a connection to the pool after its response has been read completely.
+    pub fn release(&self, held: ActiveConnection) {
         if !held.reusable || held.sender.is_closed() {
             return;
         }
         let since = Instant::now();
-        let until = since + held.rest;
-        let mut resting = self.lock();
-        let connections = resting.entry(held.address).or_default();
-        if connections.len() < MOST_RESTING {
-            connections.push(RestingConnection { held, since, until });
+        let until = since + held.idle_limit;
+        let mut idle = self.lock();
+        let connections = idle.entry(held.address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(IdleConnection { held, since, until });
         }
     }
 
-    /// Closes what rests for `address` and has brought no answer since `begun`, when a call began
-    /// that was met with silence on a kept connection.
+    /// Closes idle connections to `address` without a response since `started`, when a call started that
+    /// timed out on a reused connection.
     ///
-    /// Open connections may go silent for good, all at once, while new ones work: each of those that
-    /// rested would be found out by a call of its own, which is lost.
-    pub fn forget_unheard(&self, address: SocketAddr, begun: Instant) {
+    /// All open connections may be dropped at once without being closed, while new ones work. Without this,
+    /// each of the idle ones would cost a lost call to detect.
+    pub fn close_stale(&self, address: SocketAddr, started: Instant) {
         if let Some(connections) = self.lock().get_mut(&address) {
-            connections.retain(|one| one.since > begun);
+            connections.retain(|one| one.since > started);
         }
     }
 
-    /// Closes what rests for addresses that are not wanted any more, or has rested too long.
+    /// Closes idle connections that have expired or whose address is not `wanted`.
     pub fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let now = Instant::now();
-        let mut resting = self.lock();
-        resting.retain(|address, connections| {
+        let mut idle = self.lock();
+        idle.retain(|address, connections| {
             connections.retain(|one| one.until > now && !one.held.sender.is_closed());
             !connections.is_empty() && wanted(address)
         });
     }
 
-    /// Sends a request and reads the whole answer, within `time` and up to `most` bytes.
+    /// Sends a request and reads the whole response, within `time` and up to `max_bytes` bytes.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: CallRequest,
-        most: usize,
+        max_bytes: usize,
         time: Duration,
-    ) -> Result<CallAnswer, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let late = || ExchangeError::silent("no answer in time");
-        let (begun, is_kept) = (Instant::now(), !request.closes);
-        let called = tokio::time::timeout(time, self.call_untimed(address, request, most, time));
+        let (started, is_kept) = (Instant::now(), !request.closes);
+        let called =
+            tokio::time::timeout(time, self.call_untimed(address, request, max_bytes, time));
         let answer = called.await.unwrap_or_else(|_| Err(late()));
         if is_kept && answer.as_ref().is_err_and(|error| error.silent) {
-            self.forget_unheard(address, begun);
+            self.close_stale(address, started);
         }
         answer
     }
@@ -205,35 +206,35 @@
         &self,
         address: SocketAddr,
         request: CallRequest,
-        most: usize,
+        max_bytes: usize,
         time: Duration,
-    ) -> Result<CallAnswer, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let choice = match request.closes {
             true => ConnectionChoice::Fresh,
             false => ConnectionChoice::Kept,
         };
-        let silence = request.silence.unwrap_or(time);
-        let (mut held, _) = self.get(address, choice, silence).await?;
-        let uri: Uri = request
-            .path
-            .parse()
-            .map_err(|error| ExchangeError::unsent(format!("{}: {error}", request.path), false))?;
+        let idle_timeout = request.idle_timeout.unwrap_or(time);
+        let (mut held, _) = self.get(address, choice, idle_timeout).await?;
+        let uri: Uri = request.path.parse().map_err(|error| {
+            ExchangeError::not_sent(format!("{}: {error}", request.path), false)
+        })?;
         let mut headers = request.headers;
         if let Ok(host) = address.to_string().parse() {
             headers.insert(header::HOST, host);
         }
         let sent = held.send(request.method, uri, headers, request.body);
-        let answer = unless_silent(silence, sent).await??;
+        let answer = with_timeout(idle_timeout, sent).await??;
         let (parts, body) = answer.into_parts();
-        let body = read_whole(Limited::new(body, most), silence, &request.progress).await?;
+        let body =
+            read_to_end(Limited::new(body, max_bytes), idle_timeout, &request.progress).await?;
         if !request.closes {
-            self.put_back(held);
+            self.release(held);
         }
-        Ok(CallAnswer { status: parts.status, headers: parts.headers, body })
+        Ok(CallResponse { status: parts.status, headers: parts.headers, body })
     }
 }
 
-/// A request of headlatch's own to an outside system.
+/// A request that headlatch itself sends to an external system.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
     /// Method.
@@ -244,11 +245,11 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// The connection is closed after the answer.
+    /// Whether a new connection is used and closed after the response.
     pub closes: bool,
-    /// Time without a byte after which the answer is given up; none for the whole time of the call.
-    pub silence: Option<Duration>,
-    /// Is told what has come of the answer's body.
+    /// Time without received data after which the call is aborted; the time limit of the call if none.
+    pub idle_timeout: Option<Duration>,
+    /// Counts the bytes received of the response body.
     pub progress: ByteProgress,
 }
 
@@ -261,35 +262,35 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
             closes: false,
-            silence: None,
+            idle_timeout: None,
             progress: ByteProgress::default(),
         }
     }
 
-    /// The same path by another method, with headers and a body.
+    /// Sets the method, headers and body.
     pub fn sending(self, method: Method, headers: HeaderMap, body: Bytes) -> Self {
         Self { method, headers, body, ..self }
     }
 
-    /// The same over a connection of its own, which is closed after the answer.
+    /// Uses a new connection, which is closed after the response.
     pub fn closing(self) -> Self {
         Self { closes: true, ..self }
     }
 
-    /// The same, given up when nothing has come for `silence`.
-    pub fn silent_for(self, silence: Duration) -> Self {
-        Self { silence: Some(silence), ..self }
+    /// Aborts the call when no data is received for `idle_timeout`.
+    pub fn with_idle_timeout(self, idle_timeout: Duration) -> Self {
+        Self { idle_timeout: Some(idle_timeout), ..self }
     }
 
-    /// The same, with `progress` being told what has come of the answer.
-    pub fn noting(self, progress: ByteProgress) -> Self {
+    /// Counts the bytes received of the response body in `progress`.
+    pub fn with_progress(self, progress: ByteProgress) -> Self {
         Self { progress, ..self }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -298,22 +299,22 @@
     pub body: Bytes,
 }
 
-async fn unless_silent<T>(
-    silence: Duration,
+async fn with_timeout<T>(
+    idle_timeout: Duration,
     step: impl Future<Output = T>,
 ) -> Result<T, ExchangeError> {
-    let silent = |_| ExchangeError::silent(format!("silent for {} ms", silence.as_millis()));
-    tokio::time::timeout(silence, step).await.map_err(silent)
+    let silent = |_| ExchangeError::silent(format!("silent for {} ms", idle_timeout.as_millis()));
+    tokio::time::timeout(idle_timeout, step).await.map_err(silent)
 }
 
-/// Reads a body to its end; it may be long in coming, but not silent for `silence`.
-async fn read_whole(
+/// Reads a body to its end; fails if no data is received for `idle_timeout`, however long the whole takes.
+async fn read_to_end(
     mut body: Limited<Incoming>,
-    silence: Duration,
+    idle_timeout: Duration,
     progress: &ByteProgress,
 ) -> Result<Bytes, ExchangeError> {
     let mut whole = BytesMut::new();
-    while let Some(frame) = unless_silent(silence, body.frame()).await? {
+    while let Some(frame) = with_timeout(idle_timeout, body.frame()).await? {
         let frame = frame.map_err(|error| ExchangeError::lost(error.to_string()))?;
         if let Ok(data) = frame.into_data() {
             progress.add(data.len());
@@ -323,28 +324,34 @@
     Ok(whole.freeze())
 }
 
-async fn open(address: SocketAddr) -> Result<HeldConnection, ExchangeError> {
-    let failure = |message: String| ExchangeError::unsent(message, true);
+async fn open(address: SocketAddr) -> Result<ActiveConnection, ExchangeError> {
+    let failure = |message: String| ExchangeError::not_sent(message, true);
     let stream = TcpStream::connect(address).await.map_err(|error| ExchangeError {
         refused: error.kind() == std::io::ErrorKind::ConnectionRefused,
         ..failure(format!("{address}: {error}"))
     })?;
-    // Without it small writes wait for acknowledgements; a failure only costs time.
+    // Avoids the delay of small writes by Nagle's algorithm; a failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|error| failure(error.to_string()))?;
     let task = tokio::spawn(async move {
-        // What goes wrong is told to whoever waits for the answer.
+        // Errors are reported to the task that waits for the response.
         let _ = connection.await;
     });
     let driver = DriverGuard(task.abort_handle());
-    Ok(HeldConnection { address, sender, _driver: driver, rest: REST_TIME, reusable: true })
+    Ok(ActiveConnection {
+        address,
+        sender,
+        _driver: driver,
+        idle_limit: MAX_IDLE_TIME,
+        reusable: true,
+    })
 }
 
-impl HeldConnection {
-    /// Sends a request and returns the answer's head with its body to come.
+impl ActiveConnection {
+    /// Sends a request and returns the response with its body still to be read.
     pub async fn send(
         &mut self,
         method: Method,
@@ -352,7 +359,7 @@
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        if body.len() > KEPT_BODY {
+        if body.len() > MAX_REUSABLE_BODY_BYTES {
             self.reusable = false;
         }
         let mut request = Request::new(Full::new(body));
@@ -361,14 +368,17 @@
         *request.headers_mut() = headers;
         let sent = self.sender.try_send_request(request).await;
         let answer = sent.map_err(|mut error| match error.take_message() {
-            Some(_) => ExchangeError::unsent("the connection had closed", false),
+            Some(_) => ExchangeError::not_sent(
+                "the connection was closed before the request was sent",
+                false,
+            ),
             None => ExchangeError::lost(error.error().to_string()),
         })?;
-        self.start_backoff(answer.headers());
+        self.update_keep_alive(answer.headers());
         Ok(answer)
     }
 
-    fn start_backoff(&mut self, headers: &HeaderMap) {
+    fn update_keep_alive(&mut self, headers: &HeaderMap) {
         let closes = headers
             .get(header::CONNECTION)
             .and_then(|value| value.to_str().ok())
@@ -383,7 +393,8 @@
             .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next())
             .and_then(|seconds| seconds.parse::<u64>().ok());
         if let Some(seconds) = granted {
-            self.rest = Duration::from_millis(seconds * 10 * REST_PERCENT).min(REST_TIME);
+            self.idle_limit =
+                Duration::from_millis(seconds * 10 * KEEP_ALIVE_PERCENT).min(MAX_IDLE_TIME);
         }
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP shells of headlatch: a server that drains and limits, a client that tells what ran.
+//! HTTP server and clients of headlatch: the server enforces limits and drains on shutdown, the clients report
+//! whether a failed request may have run.
 
 pub mod client;
 pub mod connections;
@@ -9,7 +10,7 @@
 
 pub use client::{CallError, HttpCaller};
 pub use connections::{
-    CallAnswer, CallRequest, ConnectionChoice, Connections, ExchangeError, HeldConnection,
+    ActiveConnection, CallRequest, CallResponse, ConnectionChoice, Connections, ExchangeError,
 };
 pub use server::{BodyError, HttpLimits, HttpServer, read_body};
 pub use stop::{StopHandle, StopSignal};
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/stall.rs
@@ -1,4 +1,4 @@
-//! Ends connections whose other side has stopped reading.
+//! Write timeout for connections whose peer has stopped reading.
 
 use std::{
     future::Future,
@@ -13,38 +13,41 @@
     time::{Sleep, sleep},
 };
 
-/// A stream whose writes fail once its reader has taken nothing for some time. Without it an answer that
-/// nobody reads holds its buffers, and the connection that it comes from, for as long as the reader likes.
+/// A stream whose writes fail once the peer has read nothing for the timeout. Without it, a response that the
+/// peer does not read would hold its buffers and its upstream connection indefinitely.
 #[derive(Debug)]
 pub struct StallGuard<S> {
     stream: S,
-    patience: Duration,
-    /// Runs while a write waits.
-    waiting: Option<Pin<Box<Sleep>>>,
+    timeout: Duration,
+    /// Set while a write is pending.
+    deadline: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> StallGuard<S> {
-    /// Guards `stream`; a write may wait for `patience`.
-    pub fn new(stream: S, patience: Duration) -> Self {
-        Self { stream, patience, waiting: None }
+    /// Guards `stream`; a write may be pending for `timeout`.
+    pub fn new(stream: S, timeout: Duration) -> Self {
+        Self { stream, timeout, deadline: None }
     }
 
-    /// Has a write that waits fail when its time is over.
+    /// Fails a pending write once the timeout has passed.
     fn guard<T>(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.waiting = None;
+            self.deadline = None;
             return written;
         }
-        let patience = self.patience;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep(patience)));
-        match waiting.as_mut().poll(context) {
+        let timeout = self.timeout;
+        let deadline = self.deadline.get_or_insert_with(|| Box::pin(sleep(timeout)));
+        match deadline.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => {
-                let message = format!("nothing was read for {} ms", patience.as_millis());
+                let message = format!(
+                    "write timed out: the peer read nothing for {} ms",
+                    timeout.as_millis()
+                );
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, message)))
             }
         }
--- a/crates/http/tests/silent_connections.rs
+++ b/crates/http/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections that go silent for good, while new ones work.
+//! Reused connections that stop responding without being closed, while new connections work.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,28 +6,27 @@
 use headlatch_http::{CallRequest, Connections};
 use headlatch_standins::half_deaf::HalfDeafServer;
 
-/// Time of a whole call: far more than these tests take, so that only silence ends one.
+/// Time limit of a whole call, far above the duration of these tests, so that only the idle timeout applies.
 const CALL_TIME: Duration = Duration::from_secs(60);
 
-/// Silence after which a call is given up.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Idle timeout of a call.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer.
-const MOST: usize = 1 << 10;
+const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
 fn answer(_head: &str) -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec()
 }
 
 async fn call(connections: &Connections, address: SocketAddr) -> bool {
-    let request = CallRequest::get("/").silent_for(SILENCE);
-    connections.call(address, request, MOST, CALL_TIME).await.is_ok()
+    let request = CallRequest::get("/").with_idle_timeout(IDLE_TIMEOUT);
+    connections.call(address, request, MAX_RESPONSE_BYTES, CALL_TIME).await.is_ok()
 }
 
-/// One call is lost to find out; the others that rested must not take a call each.
+/// A single lost call must be enough to discard all idle connections that stopped responding.
 #[gtest]
 #[tokio::test]
-async fn a_silent_connection_takes_down_those_that_rest_beside_it() {
+async fn a_timeout_on_a_reused_connection_closes_idle_ones() {
     let server = HalfDeafServer::start(answer).await.expect("a port is free");
     let address = server.address;
     let connections = Connections::default();
@@ -42,10 +41,10 @@
     }
 }
 
-/// A connection that has answered since the lost call was sent is kept.
+/// A connection that has responded since the lost call was sent stays in the pool.
 #[gtest]
 #[tokio::test]
-async fn a_connection_that_has_answered_meanwhile_is_kept() {
+async fn a_connection_with_a_recent_response_stays_in_the_pool() {
     let server = HalfDeafServer::start(answer).await.expect("a port is free");
     let address = server.address;
     let connections = Connections::default();
@@ -53,11 +52,11 @@
     server.silence_connections();
     let lost = call(&connections, address);
     let other = async {
-        tokio::time::sleep(SILENCE / 3).await;
+        tokio::time::sleep(IDLE_TIMEOUT / 3).await;
         call(&connections, address).await
     };
     let (lost, other) = futures_util::future::join(lost, other).await;
     expect_that!((lost, other), eq((false, true)));
     expect_that!(call(&connections, address).await, eq(true));
-    expect_that!(server.accepted(), eq(2), "nothing is opened in vain");
+    expect_that!(server.accepted(), eq(2), "no unnecessary connection is opened");
 }
--- a/crates/types/tests/agent_plan.rs
+++ b/crates/types/tests/agent_plan.rs
@@ -1,4 +1,4 @@
-//! What agents are handed of a plan.
+//! The part of a plan that agents receive.
 
 use googletest::prelude::*;
 use headlatch_types::traffic::{
@@ -42,15 +42,16 @@
     }
 }
 
-/// A plan of a megabyte for each of dozens of agents fills the link of a region for half a minute.
+/// Guards against sending whole plans to agents: 1 MB for each of dozens of agents saturates the link of a
+/// region for half a minute.
 #[gtest]
-fn it_says_the_same_of_origin_and_cuts_and_is_short() {
+fn agents_get_a_reduced_plan_with_the_same_origin_and_interruption_rules() {
     for kind in [RouteKind::Stream, RouteKind::Once] {
         let plan = plan(kind);
         let handed = plan.for_agents();
         expect_that!(handed.version, eq(plan.version));
         expect_that!(handed.origin(), eq(plan.origin()));
-        expect_that!(handed.may_cut("weights"), eq(plan.may_cut("weights")));
+        expect_that!(handed.may_interrupt("weights"), eq(plan.may_interrupt("weights")));
         expect_that!(handed.routes.len(), le(1));
         expect_that!(handed.tenants.len(), eq(0));
         expect_that!(handed.services.contains_key("plain"), eq(false));
